--- a/packages/agent/src/briarthread_agent/agent.py
+++ b/packages/agent/src/briarthread_agent/agent.py
@@ -37,7 +37,7 @@
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.shares.share_view import ShareView
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.spreader import EXCHANGE_PATH, Spreader
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH, FeedReplicator
 from briarthread_common.spread.table_source import TableSource
 from briarthread_common.text.text_view import TextView
 from briarthread_common.utils.clock import Clock
@@ -78,7 +78,7 @@
         platform = PlatformClient(
             channel, settings.platform_addresses, settings.platform_timeout
         )
-        self.spreader = Spreader(
+        self.spreader = FeedReplicator(
             settings.spread,
             self.feeds,
             self.directory,
@@ -214,7 +214,7 @@
             if service is not None:
                 self.queue.slots = service.slots
                 self.queue.limit = service.queue
-            await self.feeds.text.wait_beyond(number)
+            await self.feeds.text.wait_for_newer(number)
             number = self.feeds.text.number
 
     def _status(self) -> dict[str, object]:
--- a/packages/agent/src/briarthread_agent/attempts/target_client.py
+++ b/packages/agent/src/briarthread_agent/attempts/target_client.py
@@ -11,7 +11,7 @@
     RequestError,
 )
 from briarthread_common.core.outcome import Outcome
-from briarthread_common.direct.answer_notice import read_notice
+from briarthread_common.direct.response_signals import read_response_signals
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
 from briarthread_common.http.passed_headers import PASSED_BACK
 from briarthread_common.messages.attempt import Attempt
@@ -70,7 +70,7 @@
             answer.fail(error)
 
     def _note_head(self, response: ChannelResponse) -> None:
-        notice = read_notice(response, LEAVING_HEADER)
+        notice = read_response_signals(response, LEAVING_HEADER)
         self.backoff.note_answer(notice)
         if notice.leaving:
             self.on_leaving()
--- a/packages/agent/src/briarthread_agent/holding/share_keeper.py
+++ b/packages/agent/src/briarthread_agent/holding/share_keeper.py
@@ -29,7 +29,7 @@
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.shares.share_row import ShareRow, share_name
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.spreader import Spreader
+from briarthread_common.spread.feed_replicator import FeedReplicator
 from briarthread_common.utils.hashing import rendezvous_order
 
 MEMORY_PATH = "/agent/v1/shares/memory"
@@ -57,7 +57,7 @@
         feeds: FeedSet,
         directory: Directory,
         platform: PlatformClient,
-        spreader: Spreader,
+        spreader: FeedReplicator,
         channel: Channel,
         events: EventLog,
         rng: random.Random,
--- a/packages/agent/src/briarthread_agent/holding/share_writer.py
+++ b/packages/agent/src/briarthread_agent/holding/share_writer.py
@@ -10,14 +10,14 @@
 from briarthread_common.platform.feed_store import FeedStore
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.shares.share_row import ShareRow, share_name
-from briarthread_common.spread.spreader import Spreader
+from briarthread_common.spread.feed_replicator import FeedReplicator
 
 
 class ShareWriter:
     """Write rows after the version that this process knows, or not at all."""
 
     def __init__(
-        self, feed: Feed, platform: PlatformClient, spreader: Spreader
+        self, feed: Feed, platform: PlatformClient, spreader: FeedReplicator
     ) -> None:
         self.feed = feed
         self.spreader = spreader
--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.direct.answer_notice import AnswerNotice
+from briarthread_common.direct.response_signals import ResponseSignals
 from briarthread_common.utils.backoff import Backoff
 
 
@@ -21,7 +21,7 @@
         self.backoff: Backoff | None = None
         self.extended = anyio.Event()
 
-    def note_answer(self, notice: AnswerNotice) -> None:
+    def note_answer(self, notice: ResponseSignals) -> None:
         """Record what the head of a response says."""
         now = anyio.current_time()
         if notice.backoff > 0:
--- a/packages/agent/src/briarthread_agent/ranks/demand_watch.py
+++ b/packages/agent/src/briarthread_agent/ranks/demand_watch.py
@@ -2,7 +2,7 @@
 
 from briarthread_agent.ranks.group_view import GroupView
 from briarthread_agent.ranks.rank_demand import HALF_LIFE
-from briarthread_common.direct.expert_figures import ExpertFigures
+from briarthread_common.direct.expert_layout import ExpertLayout
 from briarthread_common.messages.rank_messages import RankAnswer
 
 FORGOTTEN_SECONDS = 6 * HALF_LIFE
@@ -20,7 +20,7 @@
     said before counts on, less with its age.
     """
 
-    def __init__(self, figures: ExpertFigures) -> None:
+    def __init__(self, figures: ExpertLayout) -> None:
         self.figures = figures
         self.said: dict[int, tuple[float, RankAnswer]] = {}
         self.last: tuple[int, int, float] | None = None
--- a/packages/agent/src/briarthread_agent/ranks/direct_agent.py
+++ b/packages/agent/src/briarthread_agent/ranks/direct_agent.py
@@ -32,9 +32,9 @@
 from briarthread_common.http.status_pages import StatusPages
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.following_spreader import FollowingSpreader
-from briarthread_common.spread.list_itself import list_itself
-from briarthread_common.spread.spreader import EXCHANGE_PATH
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
+from briarthread_common.spread.long_poll_replicator import LongPollReplicator
+from briarthread_common.spread.register_instance import register_instance
 from briarthread_common.utils.clock import Clock
 
 NEAR = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
@@ -59,14 +59,14 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(channel, settings.store)
-        self.spreader = FollowingSpreader(
+        self.spreader = LongPollReplicator(
             settings.spread,
             self.feeds,
             self.directory,
             self.store,
             channel,
             rng,
-            follows=False,
+            may_poll=False,
         )
         self.routes = RouteView(self.feeds.routes, adapter)
         self.keeper = RankKeeper(adapter.open_rank(channel, settings.target))
@@ -121,7 +121,7 @@
         while True:
             row = self._row()
             if row != listed:
-                await list_itself(row, self.directory, self.store)
+                await register_instance(row, self.directory, self.store)
                 listed = row
             await anyio.sleep(GROUP_SECONDS)
 
--- a/packages/agent/src/briarthread_agent/ranks/planner_seat.py
+++ b/packages/agent/src/briarthread_agent/ranks/planner_seat.py
@@ -83,7 +83,7 @@
 
     async def _take(self, group: str) -> None:
         try:
-            fence = await self.store.take_seat(f"maps/{group}", self.name)
+            fence = await self.store.acquire_role(f"maps/{group}", self.name)
         except PlatformError as error:
             logger.debug("planner: seat not taken: {}", error)
             return
--- a/packages/agent/src/briarthread_agent/ranks/rank_planner.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_planner.py
@@ -15,13 +15,13 @@
 from briarthread_common.direct.rank_client import Layers
 from briarthread_common.direct.route_view import RouteView
 from briarthread_common.messages.rank_messages import ANY_GROUP, RankQuery
-from briarthread_common.placement.quick_change import (
-    FULL_PASS,
-    PassLength,
+from briarthread_common.placement.rank_loads import slowest_load
+from briarthread_common.placement.set_rebalance import (
+    FULL_WEIGHT_PASS_SECONDS,
+    PassDuration,
     SetChange,
-    set_changes,
+    search_set_changes,
 )
-from briarthread_common.placement.rank_loads import slowest_load
 
 LOOK_SECONDS = 0.35
 """Pause between two looks at a busy group: a few passes, in which some ten
@@ -117,7 +117,7 @@
             return pause
         passes = self.watch.observe(view, anyio.current_time())
         if self.opens:
-            self.opens, passes = False, FULL_PASS
+            self.opens, passes = False, FULL_WEIGHT_PASS_SECONDS
         if passes is None:
             return IDLE_SECONDS
         layers, loads, saved = await self._improve(service, view, passes)
@@ -211,7 +211,7 @@
     ) -> tuple[Layers, int, float]:
         """Return better layers, the experts to load and the seconds saved."""
         engine, figures = service.engine, service.experts
-        length = PassLength(passes, engine.stride * engine.step_seconds)
+        length = PassDuration(passes, engine.steps_per_pass * engine.step_seconds)
         demand = self.watch.demand(anyio.current_time())
         slowdown = [member.state.slowdown for member in view.members]
         slowest = [
@@ -223,7 +223,7 @@
         for number, layer in enumerate(self.layers):
             others = sum(slowest) - slowest[number]
             change = SetChange(layer, 0, 0.0)
-            for found in set_changes(
+            for found in search_set_changes(
                 layer, demand[number], others, figures, length, slowdown
             ):
                 change = found
--- a/packages/agent/src/briarthread_agent/ranks/settings.py
+++ b/packages/agent/src/briarthread_agent/ranks/settings.py
@@ -7,7 +7,7 @@
 from briarthread_common.conf.read_settings import read_settings
 from briarthread_common.conf.section_spec import SectionSpec
 from briarthread_common.conf.shared_sections import LOGS, PEERS, STORE_OPTIONS
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 
 DIRECT = SectionSpec("direct", "The platform that lists the targets.", STORE_OPTIONS)
 DIRECT_AGENT_SECTIONS = (INSTANCE, TARGET, DIRECT, PEERS, LOGS)
@@ -26,7 +26,7 @@
     target: str
     adapter: str
     store: str
-    spread: SpreadOptions
+    spread: ReplicationOptions
     log_level: str
     log_json: bool
 
@@ -40,7 +40,7 @@
         target=values["target"]["address"],
         adapter=values["direct"]["adapter"],
         store=values["direct"]["address"],
-        spread=SpreadOptions(
+        spread=ReplicationOptions(
             name=instance["name"],
             data_centre=instance["data_centre"],
             **values["peers"],
--- a/packages/agent/src/briarthread_agent/settings.py
+++ b/packages/agent/src/briarthread_agent/settings.py
@@ -13,7 +13,7 @@
     PLATFORM,
     instance_section,
 )
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 
 INSTANCE = instance_section(
     Option("service", OptionKind.TEXT, None, "Service that its target serves."),
@@ -37,7 +37,7 @@
     target: str
     platform_addresses: tuple[str, ...]
     platform_timeout: float
-    spread: SpreadOptions
+    spread: ReplicationOptions
     drain_notice: float
     drain_timeout: float
     log_level: str = "INFO"
@@ -56,7 +56,7 @@
         target=values["target"]["address"],
         platform_addresses=values["platform"]["addresses"],
         platform_timeout=values["platform"]["timeout"],
-        spread=SpreadOptions(
+        spread=ReplicationOptions(
             name=instance["name"],
             data_centre=instance["data_centre"],
             **values["peers"],
--- a/packages/common/src/briarthread_common/direct/direct_service.py
+++ b/packages/common/src/briarthread_common/direct/direct_service.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass
 
-from briarthread_common.direct.engine_figures import EngineFigures
-from briarthread_common.direct.expert_figures import ExpertFigures
+from briarthread_common.direct.engine_profile import EngineProfile
+from briarthread_common.direct.expert_layout import ExpertLayout
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,5 +19,5 @@
 
     name: str
     max_connections: int
-    engine: EngineFigures | None = None
-    experts: ExpertFigures | None = None
+    engine: EngineProfile | None = None
+    experts: ExpertLayout | None = None
--- a/packages/common/src/briarthread_common/direct/direct_target.py
+++ b/packages/common/src/briarthread_common/direct/direct_target.py
@@ -18,4 +18,4 @@
     data_centre: str
     slots: int
     leaving: bool
-    cold_seconds: float = 0.0
+    warmup_seconds: float = 0.0
--- a/packages/common/src/briarthread_common/direct/header_names.py
+++ b/packages/common/src/briarthread_common/direct/header_names.py
@@ -8,10 +8,10 @@
     """
     Name each header by what it says; all names are lower case.
 
-    ``time_left`` is in milliseconds. ``size`` holds the tokens of the prompt
+    ``time_left`` is in milliseconds. ``token_counts`` holds the tokens of the prompt
     and the most of the answer. ``not_run`` on an answer says that the target
-    did not run the request; ``signature`` is there on every answer that a
-    target made. ``limit`` is the number of requests per second that a target
+    did not run the request; ``target_stamp`` is there on every answer that a
+    target made. ``rate_limit`` is the number of requests per second that a target
     accepts from all callers together while it limits its load. ``leaving``
     announces that the target is shutting down.
     """
@@ -21,10 +21,10 @@
     account_key: str
     account_name: str
     expected_target: str
-    signature: str
+    target_stamp: str
     not_run: str
     faulty_target: str
-    limit: str
+    rate_limit: str
     leaving: str
-    size: str
+    token_counts: str
     resume_from: str
--- a/packages/common/src/briarthread_common/direct/host_route.py
+++ b/packages/common/src/briarthread_common/direct/host_route.py
@@ -18,8 +18,8 @@
     """
     Send the requests of a host and a path prefix to services.
 
-    Times are in seconds: ``timeout`` until the final answer, ``aim`` until
-    the answer (of a stream, its first event) is still in time, ``gap_aim``
+    Times are in seconds: ``timeout`` until the final answer, ``slo`` until
+    the answer (of a stream, its first event) is still in time, ``gap_slo``
     between two events. A lower ``priority`` is served first.
     ``max_attempts`` counts the targets that one request may be sent to.
     """
@@ -30,8 +30,8 @@
     kind: CallKind
     shares: tuple[RouteShare, ...]
     timeout: float
-    aim: float
-    gap_aim: float = 0.0
+    slo: float
+    gap_slo: float = 0.0
     priority: int = 0
     max_attempts: int = 1
     public: bool = False
--- a/packages/common/src/briarthread_common/direct/platform_adapter.py
+++ b/packages/common/src/briarthread_common/direct/platform_adapter.py
@@ -8,17 +8,17 @@
 from briarthread_common.direct.route_map import RouteMap
 from briarthread_common.http.channel import Channel
 from briarthread_common.messages.instance import Instance
-from briarthread_common.spread.feed_source import FollowedSource
+from briarthread_common.spread.feed_source import LongPollSource
 
 
-class PlatformStore(FollowedSource, Protocol):
+class PlatformStore(LongPollSource, Protocol):
     """The platform's store, as a source of feeds and a list of our instances."""
 
-    async def list_instance(self, instance: Instance) -> None:
+    async def register_instance(self, instance: Instance) -> None:
         """Enter an instance of ours in the list; raise PlatformError."""
         ...
 
-    async def take_seat(self, duty: str, holder: str) -> int | None:
+    async def acquire_role(self, role: str, holder: str) -> int | None:
         """
         Take a duty over from whoever has it; raise PlatformError.
 
--- a/packages/common/src/briarthread_common/direct/read_backoff.py
+++ b/packages/common/src/briarthread_common/direct/read_backoff.py
@@ -6,7 +6,7 @@
 
 from briarthread_common.core.exceptions import DecodeError
 
-MOST_SECONDS = 86400.0
+MAX_BACKOFF_SECONDS = 86400.0
 """Upper bound of a backoff in seconds: a target is restarted within a day."""
 
 
@@ -32,7 +32,7 @@
         raise DecodeError(
             f"Retry-After {fields[0][:40]!r} is neither seconds nor an HTTP date"
         )
-    return min(max(delays, default=0.0), MOST_SECONDS)
+    return min(max(delays, default=0.0), MAX_BACKOFF_SECONDS)
 
 
 def _parse_value(value: str, date: str | None) -> float | None:
--- a/packages/common/src/briarthread_common/direct/read_limit.py
+++ b/packages/common/src/briarthread_common/direct/read_limit.py
@@ -4,7 +4,7 @@
 
 from briarthread_common.core.exceptions import DecodeError
 
-MOST_PER_SECOND = 1e6
+MAX_REQUESTS_PER_SECOND = 1e6
 """Limits from here on bound nothing that a target could be sent."""
 
 
@@ -26,4 +26,4 @@
         raise DecodeError(f"limit {raw[:40]!r} is no number") from error
     if math.isnan(least) or least <= 0:
         raise DecodeError(f"limit {raw[:40]!r} is not above zero")
-    return least if least < MOST_PER_SECOND else None
+    return least if least < MAX_REQUESTS_PER_SECOND else None
--- a/packages/common/src/briarthread_common/direct/answer_notice.py
+++ b/packages/common/src/briarthread_common/direct/response_signals.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerNotice:
+class ResponseSignals:
     """
     Hold what the head of a response says about its target.
 
@@ -31,11 +31,11 @@
     leaving: bool = False
 
 
-def read_notice(
+def read_response_signals(
     response: ChannelResponse, leaving_header: str | None = None
-) -> AnswerNotice:
+) -> ResponseSignals:
     """Parse the head of a response; invalid values are logged and ignored."""
-    return AnswerNotice(
+    return ResponseSignals(
         _requested_backoff(response),
         response.status >= SERVER_ERROR,
         _is_leaving(response, leaving_header),
--- a/packages/common/src/briarthread_common/direct/route_view.py
+++ b/packages/common/src/briarthread_common/direct/route_view.py
@@ -27,7 +27,7 @@
         while True:
             number = self.feed.number
             self.current()
-            await self.feed.wait_beyond(number)
+            await self.feed.wait_for_newer(number)
 
     def current(self) -> RouteMap | None:
         """Return the newest configuration, ``None`` before the first."""
--- a/packages/common/src/briarthread_common/feeds/feed.py
+++ b/packages/common/src/briarthread_common/feeds/feed.py
@@ -5,7 +5,7 @@
 import anyio
 
 from briarthread_common.core.exceptions import FeedGapError
-from briarthread_common.feeds.feed_patch import WHOLE, FeedPatch
+from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE, FeedPatch
 
 HISTORY = 256
 """How many single patches are kept for processes that lag behind."""
@@ -46,7 +46,7 @@
             raise FeedGapError(
                 f"{self.name}: patch from {patch.base}, have {self.number}"
             )
-        if patch.base == WHOLE:
+        if patch.base == SNAPSHOT_BASE:
             self._replace(patch)
         else:
             self._apply(patch)
@@ -62,15 +62,15 @@
         """
         if number >= self.number:
             return None
-        if not self.history or number < self.history[0].base or number == WHOLE:
-            return FeedPatch(self.name, WHOLE, self.number, dict(self.items))
+        if not self.history or number < self.history[0].base or number == SNAPSHOT_BASE:
+            return FeedPatch(self.name, SNAPSHOT_BASE, self.number, dict(self.items))
         changes: dict[str, str | None] = {}
         for patch in self.history:
             if patch.number > number:
                 changes.update(patch.changes)
         return FeedPatch(self.name, number, self.number, changes)
 
-    async def wait_beyond(self, number: int) -> None:
+    async def wait_for_newer(self, number: int) -> None:
         """Return once the feed is at a higher version than the given one."""
         while self.number <= number:
             await self.changed.wait()
--- a/packages/common/src/briarthread_common/feeds/feed_patch.py
+++ b/packages/common/src/briarthread_common/feeds/feed_patch.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-WHOLE = 0
+SNAPSHOT_BASE = 0
 """The base of a patch that replaces everything."""
 
 
--- a/packages/common/src/briarthread_common/placement/improve_map.py
+++ b/packages/common/src/briarthread_common/placement/improve_map.py
@@ -4,13 +4,17 @@
 
 from briarthread_common.messages.expert_map import ExpertMap
 from briarthread_common.placement.layer_plan import LayerPlan
-from briarthread_common.placement.layer_step import Exchange, Step, loads_of
+from briarthread_common.placement.layer_step import (
+    PlacementStep,
+    SwapReplicas,
+    load_count,
+)
 from briarthread_common.placement.rank_loads import Layer
 from briarthread_common.placement.step_search import StepSearch
 
-MIN_GAIN = 0.002
+MIN_STEP_GAIN = 0.002
 """Part of the mean load that a step must take off the slowest rank."""
-MOST_FREE_STEPS = 200
+MAX_FREE_STEPS = 200
 """Bound on steps that load nothing, so that a search ends in any case."""
 
 
@@ -70,23 +74,23 @@
     """
     plan = LayerPlan(layer, counts, slowdown or [1.0] * len(layer))
     left = [max_moves if rank_moves is None else rank_moves] * len(layer)
-    floor = MIN_GAIN * sum(counts) / len(layer)
+    floor = MIN_STEP_GAIN * sum(counts) / len(layer)
     used = 0
-    for _ in range(max_moves + MOST_FREE_STEPS):
+    for _ in range(max_moves + MAX_FREE_STEPS):
         found = StepSearch(plan, slots, left).best()
         if found is None or found[0] <= floor:
             return
         step = found[1]
-        if used + loads_of(step) > max_moves:
+        if used + load_count(step) > max_moves:
             return
-        plan.carry_out(step)
-        used += loads_of(step)
+        plan.apply(step)
+        used += load_count(step)
         _note_loads(step, left)
-        yield plan.copy(), used
+        yield plan.snapshot(), used
 
 
-def _note_loads(step: Step, left: list[int]) -> None:
-    if loads_of(step):
+def _note_loads(step: PlacementStep, left: list[int]) -> None:
+    if load_count(step):
         left[step.rank] -= 1
-    if isinstance(step, Exchange):
+    if isinstance(step, SwapReplicas):
         left[step.source] -= 1
--- a/packages/common/src/briarthread_common/placement/layer_step.py
+++ b/packages/common/src/briarthread_common/placement/layer_step.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drop:
+class DropReplica:
     """The rank gives up its replica of an expert that others hold as well."""
 
     expert: int
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class MoveReplica:
     """An expert goes from its source into a free place of another rank."""
 
     expert: int
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class AddReplica:
     """
     A rank gets a replica of an expert that its source keeps.
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class SwapReplicas:
     """An expert goes to another rank and ``returned`` comes back for it."""
 
     expert: int
@@ -45,20 +45,20 @@
     returned: int
 
 
-Step = Drop | Move | Copy | Exchange
+PlacementStep = DropReplica | MoveReplica | AddReplica | SwapReplicas
 
 
-def loads_of(step: Step) -> int:
+def load_count(step: PlacementStep) -> int:
     """
     Return how many experts some rank has to load for a step.
 
-    >>> loads_of(Drop(3, 0)), loads_of(Exchange(3, 0, 1, 4))
+    >>> load_count(DropReplica(3, 0)), load_count(SwapReplicas(3, 0, 1, 4))
     (0, 2)
     """
     match step:
-        case Drop():
+        case DropReplica():
             return 0
-        case Move() | Copy():
+        case MoveReplica() | AddReplica():
             return 1
-        case Exchange():
+        case SwapReplicas():
             return 2
--- a/packages/common/src/briarthread_common/placement/popularity.py
+++ b/packages/common/src/briarthread_common/placement/popularity.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-HALF_LIFE = 600.0
+HALF_LIFE_SECONDS = 600.0
 """Seconds after which an observation counts half, where demand drifts slowly."""
 
 
@@ -13,14 +13,14 @@
 
     >>> popularity = Popularity(layers=1, experts=2)
     >>> popularity.add(0.0, [[10, 30]])
-    >>> popularity.add(HALF_LIFE, [[10, 0]])
+    >>> popularity.add(HALF_LIFE_SECONDS, [[10, 0]])
     >>> popularity.counts
     [[15.0, 15.0]]
     """
 
     layers: int
     experts: int
-    half_life: float = HALF_LIFE
+    half_life: float = HALF_LIFE_SECONDS
     counts: list[list[float]] = field(init=False)
     updated: float = 0.0
 
--- a/packages/common/src/briarthread_common/platform/feed_store.py
+++ b/packages/common/src/briarthread_common/platform/feed_store.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from briarthread_common.core.exceptions import ConflictError, PlatformError
-from briarthread_common.feeds.feed_patch import WHOLE, FeedPatch
+from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE, FeedPatch
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.platform.table_messages import ABSENT, Row, RowCheck, RowWrite
 
@@ -46,7 +46,7 @@
         """Return one patch between two versions, ``None`` if none is newer."""
         if newest <= number:
             return None
-        if number != WHOLE and newest - number <= MAX_PATCHES:
+        if number != SNAPSHOT_BASE and newest - number <= MAX_PATCHES:
             patch = await self._read_patches(number, newest)
             if patch is not None:
                 return patch
@@ -75,7 +75,7 @@
             RowWrite(self.patch_key(patch.number), _encode(patch)),
         ]
         if base % SNAPSHOT_EVERY == 0:
-            copy = FeedPatch(self.feed, WHOLE, patch.number, dict(whole))
+            copy = FeedPatch(self.feed, SNAPSHOT_BASE, patch.number, dict(whole))
             writes.append(RowWrite(self.whole_key(), _encode(copy)))
         if patch.number > MAX_PATCHES:
             writes.append(RowWrite(self.patch_key(patch.number - MAX_PATCHES), None))
@@ -105,7 +105,7 @@
             raise PlatformError(f"{self.feed} lacks a patch after {copy.number}")
         items = {**copy.changes, **rest.changes}
         items = {name: text for name, text in items.items() if text is not None}
-        return FeedPatch(self.feed, WHOLE, rest.number, items)
+        return FeedPatch(self.feed, SNAPSHOT_BASE, rest.number, items)
 
     async def _read_one(self, key: str) -> Row | None:
         return (await self.platform.read([key])).get(key)
--- a/packages/common/src/briarthread_common/spread/spreader.py
+++ b/packages/common/src/briarthread_common/spread/feed_replicator.py
@@ -20,9 +20,9 @@
 from briarthread_common.messages.instance import Instance
 from briarthread_common.spread.directory import Directory
 from briarthread_common.spread.feed_source import FeedSource
-from briarthread_common.spread.poll_duty import PollDuty
-from briarthread_common.spread.spread_options import SpreadOptions
-from briarthread_common.spread.tree import root_of, told_by
+from briarthread_common.spread.poller_selection import PollerSelection
+from briarthread_common.spread.replication_options import ReplicationOptions
+from briarthread_common.spread.tree import push_targets, root_of
 from briarthread_common.utils.hashing import rendezvous_order
 
 EXCHANGE_PATH = "/peer/v1/exchange"
@@ -35,7 +35,7 @@
 """How many peers a starting process asks for the highest versions."""
 
 
-class Spreader:
+class FeedReplicator:
     """
     Keep the feeds of one process at the highest versions to be had.
 
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        options: SpreadOptions,
+        options: ReplicationOptions,
         feeds: FeedSet,
         directory: Directory,
         source: FeedSource,
@@ -62,8 +62,8 @@
         self.source = source
         self.channel = channel
         self.rng = rng
-        self.poll_duty = PollDuty(
-            options.name, options.data_centre, directory, holders=POLLERS
+        self.poller_selection = PollerSelection(
+            options.name, options.data_centre, directory, poller_count=POLLERS
         )
         self.platform_up = False
         self.started = anyio.Event()
@@ -117,7 +117,7 @@
         by_name = {row.name: row for row in rows}
         return [by_name[name] for name in rendezvous_order("tree", by_name)]
 
-    def source_well(self) -> float:
+    def source_healthy_seconds(self) -> float:
         """Return for how long the platform has answered, if it matters."""
         return 0.0
 
@@ -138,7 +138,7 @@
     async def _tell_loop(self, feed: Feed) -> None:
         told = feed.number
         while True:
-            await feed.wait_beyond(told)
+            await feed.wait_for_newer(told)
             patch = feed.since(told)
             told = feed.number
             if patch is not None:
@@ -148,7 +148,7 @@
         message = self._message([patch])
         tree = self.peers()
         async with anyio.create_task_group() as tasks:
-            for row in told_by(self.options.name, tree):
+            for row in push_targets(self.options.name, tree):
                 tasks.start_soon(self._tell_one, row.address, message)
             root = root_of(self.options.name, tree)
             if root is not None:
@@ -201,7 +201,10 @@
 
     def _message(self, patches: list[FeedPatch]) -> Exchange:
         return Exchange(
-            self.feeds.versions(), patches, self.source_age(), self.source_well()
+            self.feeds.versions(),
+            patches,
+            self.source_age(),
+            self.source_healthy_seconds(),
         )
 
     def _hear(self, heard: Exchange) -> None:
@@ -224,7 +227,7 @@
 
     def _on_poll_duty(self) -> bool:
         """Tell whether this process polls the platform now."""
-        return self.poll_duty.held()
+        return self.poller_selection.selected()
 
     def _random_peer(self) -> str | None:
         rows = self.directory.all().values()
--- a/packages/common/src/briarthread_common/spread/feed_source.py
+++ b/packages/common/src/briarthread_common/spread/feed_source.py
@@ -14,19 +14,19 @@
         ...
 
 
-class FollowedSource(FeedSource, Protocol):
+class LongPollSource(FeedSource, Protocol):
     """
     A source that holds a call open until there is something new.
 
-    ``follow`` returns what changed after a version, and the version up to
+    ``long_poll`` returns what changed after a version, and the version up to
     which nothing else did. It raises HistoryGoneError when the source no
-    longer has what lies in between; ``read_whole`` then gives all of it.
+    longer has what lies in between; ``read_snapshot`` then gives all of it.
     """
 
-    async def read_whole(self, feed: str) -> FeedPatch:
+    async def read_snapshot(self, feed: str) -> FeedPatch:
         """Return all items of a feed as of one moment."""
         ...
 
-    async def follow(self, feed: str, after: int, wait: float) -> FeedPatch:
+    async def long_poll(self, feed: str, after: int, wait: float) -> FeedPatch:
         """Wait up to ``wait`` seconds for changes and return them."""
         ...
--- a/packages/common/src/briarthread_common/spread/following_spreader.py
+++ b/packages/common/src/briarthread_common/spread/long_poll_replicator.py
@@ -16,10 +16,10 @@
 from briarthread_common.http.channel import Channel
 from briarthread_common.messages.exchange import Exchange
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.feed_source import FollowedSource
+from briarthread_common.spread.feed_replicator import FeedReplicator
+from briarthread_common.spread.feed_source import LongPollSource
+from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_common.spread.source_health import SourceHealth
-from briarthread_common.spread.spread_options import SpreadOptions
-from briarthread_common.spread.spreader import Spreader
 
 FOLLOW_SECONDS = 4.0
 """Longest wait in one call. A silent platform is noticed after it at the
@@ -60,7 +60,7 @@
 """How long one follows itself after its followers failed it."""
 
 
-class FollowingSpreader(Spreader):
+class LongPollReplicator(FeedReplicator):
     """
     Follow the platform's feeds, or follow those who do.
 
@@ -68,23 +68,23 @@
     tell the others at once. One that does not follow asks a follower now and
     then; when that one is silent, or has not heard from the platform itself,
     it follows on its own for a while. One that the platform turns away hears
-    from peers of every data centre. With ``follows`` off, as for an agent, it
+    from peers of every data centre. With ``may_poll`` off, as for an agent, it
     follows only while it knows no entry.
     """
 
     def __init__(
         self,
-        options: SpreadOptions,
+        options: ReplicationOptions,
         feeds: FeedSet,
         directory: Directory,
-        source: FollowedSource,
+        source: LongPollSource,
         channel: Channel,
         rng: random.Random,
-        follows: bool = True,
+        may_poll: bool = True,
     ) -> None:
         super().__init__(options, feeds, directory, source, channel, rng)
-        self.poll_duty.holders = FOLLOWERS
-        self.follows = follows
+        self.poller_selection.poller_count = FOLLOWERS
+        self.may_poll = may_poll
         self.followed = source
         self.health = SourceHealth()
         self.standing_in_until = 0.0
@@ -95,11 +95,11 @@
         """Return the seconds since the platform was last heard from."""
         return self.health.age(anyio.current_time())
 
-    def source_well(self) -> float:
+    def source_healthy_seconds(self) -> float:
         """Return for how long the platform has answered this process."""
-        return self.health.well_for(anyio.current_time())
+        return self.health.healthy_for(anyio.current_time())
 
-    def well_since(self) -> float:
+    def healthy_since(self) -> float:
         """
         Return since when the platform is known to be well; now if it is not.
 
@@ -110,18 +110,18 @@
         health = self.health if self._on_poll_duty() else self.peers_well
         if not health.up or health.age(now) > TRUSTED_AGE:
             return now
-        return health.well_since
+        return health.healthy_since
 
     def _hear(self, heard: Exchange) -> None:
         if heard.source_well > 0:
             now = anyio.current_time()
             self.peers_well.note_success(now)
-            self.peers_well.well_since = now - heard.source_well
+            self.peers_well.healthy_since = now - heard.source_well
         super()._hear(heard)
 
     async def catch_up(self) -> None:
         """Take the highest versions; one that does not follow asks an entry first."""
-        if not self.follows and await self._start_from_seed():
+        if not self.may_poll and await self._start_from_seed():
             self.started.set()
             return
         await super().catch_up()
@@ -148,7 +148,7 @@
 
     async def _exchange_loop(self) -> None:
         while True:
-            pause = WATCH_SECONDS if self.follows else WATCH_AGENT_SECONDS
+            pause = WATCH_SECONDS if self.may_poll else WATCH_AGENT_SECONDS
             await anyio.sleep(pause * self.rng.uniform(0.8, 1.2))
             if not self._on_poll_duty():
                 await self._watch_follower()
@@ -180,13 +180,13 @@
 
     async def _next_patch(self, feed: Feed, cursor: int) -> FeedPatch:
         if cursor == 0:
-            return await self.followed.read_whole(feed.name)
+            return await self.followed.read_snapshot(feed.name)
         wait = FOLLOW_SECONDS if self.health.up else 0.0
         try:
-            return await self.followed.follow(feed.name, cursor, wait)
+            return await self.followed.long_poll(feed.name, cursor, wait)
         except HistoryGoneError as error:
             logger.info("spread: {}: {}; reading all anew", feed.name, error)
-            return await self.followed.read_whole(feed.name)
+            return await self.followed.read_snapshot(feed.name)
 
     def _take(self, feed: Feed, patch: FeedPatch) -> None:
         """
@@ -206,7 +206,7 @@
 
         One that has died is missed by every entry of its data centre at once.
         """
-        followers = self.poll_duty.addresses()
+        followers = self.poller_selection.addresses()
         if not followers:
             self._stand_in("no entry is known")
             return
@@ -230,7 +230,7 @@
 
     async def _do_without(self, reason: str) -> None:
         """Follow the platform, or where others are to do that, ask any peer."""
-        if self.follows:
+        if self.may_poll:
             self._stand_in(reason)
         else:
             await self._ask_any_peer()
@@ -249,8 +249,8 @@
         if anyio.current_time() < self.standing_in_until:
             return True
         if anyio.current_time() < self.unlisted_until:
-            return self.options.name in self.poll_duty.names()
-        return self.follows and super()._on_poll_duty()
+            return self.options.name in self.poller_selection.names()
+        return self.may_poll and super()._on_poll_duty()
 
     def _note_down(self, feed: Feed, error: PlatformError) -> None:
         if self.health.note_failure(anyio.current_time()):
--- a/packages/common/src/briarthread_common/spread/poll_duty.py
+++ b/packages/common/src/briarthread_common/spread/poller_selection.py
@@ -5,21 +5,21 @@
 from briarthread_common.utils.hashing import rendezvous_order
 
 
-class PollDuty:
+class PollerSelection:
     """
     Tell who polls the platform, alike in every process that knows the same list.
 
-    ``holders`` is how many entries of the data centre do. The order is worked out
+    ``poller_count`` is how many entries of the data centre do. The order is worked out
     once a list: who polls is asked many times a second.
     """
 
     def __init__(
-        self, name: str, data_centre: str, directory: Directory, holders: int
+        self, name: str, data_centre: str, directory: Directory, poller_count: int
     ) -> None:
         self.name = name
         self.data_centre = data_centre
         self.directory = directory
-        self.holders = holders
+        self.poller_count = poller_count
         self.rows: dict[str, Instance] | None = None
         self.order: list[str] = []
 
@@ -30,14 +30,14 @@
             self.rows = rows
             here = self.directory.entries(self.data_centre)
             self.order = rendezvous_order("poll", [row.name for row in here])
-        return self.order[: self.holders]
+        return self.order[: self.poller_count]
 
     def addresses(self) -> list[str]:
         """Return where those who are to poll are called."""
         names = self.names()
         return [self.directory.all()[name].address for name in names]
 
-    def held(self) -> bool:
+    def selected(self) -> bool:
         """
         Tell whether this process is to poll.
 
--- a/packages/common/src/briarthread_common/spread/list_itself.py
+++ b/packages/common/src/briarthread_common/spread/register_instance.py
@@ -12,13 +12,13 @@
 """Pause before the next try where the platform did not take it."""
 
 
-async def list_itself(
+async def register_instance(
     row: Instance, directory: Directory, store: PlatformStore
 ) -> None:
     """Enter an instance in the list, unless it is there already."""
     while directory.all().get(row.name) != row:
         try:
-            await store.list_instance(row)
+            await store.register_instance(row)
             logger.info("spread: {} entered in the list of instances", row.name)
             return
         except PlatformError as error:
--- a/packages/common/src/briarthread_common/spread/spread_options.py
+++ b/packages/common/src/briarthread_common/spread/replication_options.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadOptions:
+class ReplicationOptions:
     """Hold the settings of the spread; times are in seconds."""
 
     name: str
--- a/packages/common/src/briarthread_common/spread/source_health.py
+++ b/packages/common/src/briarthread_common/spread/source_health.py
@@ -15,21 +15,21 @@
     >>> health = SourceHealth()
     >>> health.note_success(1.0), health.note_failure(2.0), health.note_success(9.0)
     (True, True, True)
-    >>> health.well_since
+    >>> health.healthy_since
     9.0
     """
 
     up: bool = False
-    heard_at: float = NEVER
-    well_since: float = NEVER
+    last_success: float = NEVER
+    healthy_since: float = NEVER
 
     def note_success(self, now: float) -> bool:
         """Record an answer; tell whether it ends a time without."""
         regained = not self.up
         if regained:
-            self.well_since = now
+            self.healthy_since = now
         self.up = True
-        self.heard_at = now
+        self.last_success = now
         return regained
 
     def note_failure(self, now: float) -> bool:
@@ -38,10 +38,10 @@
         self.up = False
         return lost
 
-    def well_for(self, now: float) -> float:
+    def healthy_for(self, now: float) -> float:
         """Return how long the platform has answered, 0 if it does not."""
-        return now - self.well_since if self.up else 0.0
+        return now - self.healthy_since if self.up else 0.0
 
     def age(self, now: float) -> float:
         """Return the seconds since the last answer, a large number if none."""
-        return min(now - self.heard_at, 1e9)
+        return min(now - self.last_success, 1e9)
--- a/packages/common/src/briarthread_common/spread/tree.py
+++ b/packages/common/src/briarthread_common/spread/tree.py
@@ -8,7 +8,7 @@
 """How many entries each one tells at once when a feed has moved."""
 
 
-def told_by(name: str, tree: Sequence[Instance]) -> list[Instance]:
+def push_targets(name: str, tree: Sequence[Instance]) -> list[Instance]:
     """
     Return the instances that one of a tree sends a new version to.
 
--- a/packages/entry/src/briarthread_entry/commands/direct.py
+++ b/packages/entry/src/briarthread_entry/commands/direct.py
@@ -87,7 +87,7 @@
     """Keep callers' idle connections for as long as the configuration says."""
     number = 0
     while True:
-        await entry.feeds.routes.wait_beyond(number)
+        await entry.feeds.routes.wait_for_newer(number)
         number = entry.feeds.routes.number
         routes = entry.routes.current()
         if routes is not None:
--- a/packages/entry/src/briarthread_entry/commands/show.py
+++ b/packages/entry/src/briarthread_entry/commands/show.py
@@ -9,7 +9,7 @@
 from briarthread_common.messages.exchange import Exchange
 from briarthread_common.platform.feed_store import FeedStore
 from briarthread_common.platform.platform_client import PlatformClient
-from briarthread_common.spread.spreader import EXCHANGE_PATH
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
 from briarthread_common.text.split_text import join_text
 from briarthread_common.text.text_store import without_meta
 from briarthread_entry.commands.base import Arguments, Command
--- a/packages/entry/src/briarthread_entry/direct/attempt_notes.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_notes.py
@@ -3,7 +3,7 @@
 import anyio
 
 from briarthread_common.core.event_log import EventLog
-from briarthread_common.direct.answer_notice import SERVICE_UNAVAILABLE
+from briarthread_common.direct.response_signals import SERVICE_UNAVAILABLE
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
     LeftSlowRank,
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -9,9 +9,9 @@
     RequestError,
     SpoiltAnswerError,
 )
-from briarthread_common.direct.answer_notice import read_notice
 from briarthread_common.direct.call_kind import CallKind
 from briarthread_common.direct.header_names import HeaderNames
+from briarthread_common.direct.response_signals import read_response_signals
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
 from briarthread_common.http.channel_calls import read_bounded
 from briarthread_entry.direct.answer_relay import AnswerRelay, Fields
@@ -110,9 +110,11 @@
             return
         name = state.target.name
         now = anyio.current_time()
-        named = [raw for field, raw in response.fields if field == self.names.limit]
+        named = [
+            raw for field, raw in response.fields if field == self.names.rate_limit
+        ]
         self.limits.note_answer(name, ",".join(named) if named else None, sent, now)
-        notice = read_notice(response, self.names.leaving)
+        notice = read_response_signals(response, self.names.leaving)
         self.backoffs.note_answer(name, notice, now)
         if notice.leaving:
             self.leaving_targets.note_leaving(name)
@@ -121,7 +123,7 @@
         """Raise SpoiltAnswerError for a success that is not the target's own."""
         if response.status >= 300:
             return
-        if self.names.signature not in response.headers:
+        if self.names.target_stamp not in response.headers:
             raise SpoiltAnswerError("a success without the target's signature")
         if response.headers.get("content-encoding", "identity") != "identity":
             raise SpoiltAnswerError("an encoding that nobody asked for")
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -19,9 +19,9 @@
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.following_spreader import FollowingSpreader
-from briarthread_common.spread.list_itself import list_itself
-from briarthread_common.spread.spreader import EXCHANGE_PATH
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
+from briarthread_common.spread.long_poll_replicator import LongPollReplicator
+from briarthread_common.spread.register_instance import register_instance
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.direct.attempt_sender import AttemptSender
 from briarthread_entry.direct.crash_book import CrashBook
@@ -74,7 +74,7 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(store_channel, settings.store)
-        self.spreader = FollowingSpreader(
+        self.spreader = LongPollReplicator(
             settings.spread, self.feeds, self.directory, self.store, peer_channel, rng
         )
         self.routes = RouteView(self.feeds.routes, adapter)
@@ -83,7 +83,10 @@
         self.crashes = CrashBook(self._note_crash_decision)
         self.leaving_targets = LeavingTargets()
         self.book = TargetBook(
-            self.feeds.targets, adapter, self.spreader.well_since, self.leaving_targets
+            self.feeds.targets,
+            adapter,
+            self.spreader.healthy_since,
+            self.leaving_targets,
         )
         self.book.on_gone = self._forget
         self.board = RunningBoard(self.limits, self.crashes, self.leaving_targets)
@@ -214,7 +217,7 @@
             self.settings.listen,
             InstanceRole.ENTRY,
         )
-        await list_itself(row, self.directory, self.store)
+        await register_instance(row, self.directory, self.store)
 
     def _report(self) -> RunningReport:
         """Return what other entries are told of what runs here."""
--- a/packages/entry/src/briarthread_entry/direct/group_gate.py
+++ b/packages/entry/src/briarthread_entry/direct/group_gate.py
@@ -142,4 +142,4 @@
         now = anyio.current_time()
         seen = self.rooms.shortest_pass(request.service, now) or 0.0
         answer = PASSES_TO_ANSWER * seen
-        return min(max(request.route.aim - answer, 0.0), LONGEST_WAIT)
+        return min(max(request.route.slo - answer, 0.0), LONGEST_WAIT)
--- a/packages/entry/src/briarthread_entry/direct/group_load.py
+++ b/packages/entry/src/briarthread_entry/direct/group_load.py
@@ -10,7 +10,7 @@
 what was seen.
 """
 
-from briarthread_common.direct.engine_figures import EngineFigures
+from briarthread_common.direct.engine_profile import EngineProfile
 
 TINY = 1e-6
 PASS_SHARE = 0.8
@@ -26,7 +26,7 @@
 
 
 def most_running(
-    ranks: int, engine: EngineFigures, longest_pause: float, each: float | None
+    ranks: int, engine: EngineProfile, longest_pause: float, each: float | None
 ) -> int:
     """
     Return how many requests a group may run at once.
@@ -34,7 +34,7 @@
     ``each`` is what a running request adds to a pass in seconds, ``None``
     where nothing was seen.
 
-    >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
+    >>> engine = EngineProfile(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> most_running(12, engine, 0.12, 0.0015)
     44
     >>> most_running(12, engine, 0.12, 0.0005)
@@ -43,17 +43,17 @@
     slots = ranks * engine.slots
     if each is None or longest_pause <= 0:
         return slots
-    fixed = engine.stride * engine.step_seconds
+    fixed = engine.steps_per_pass * engine.step_seconds
     fitting = (longest_pause * PASS_SHARE - fixed) / max(each, TINY)
     return int(min(max(fitting, slots * LEAST_SHARE), slots))
 
 
-def usual_each(engine: EngineFigures, ranks: int) -> float:
+def usual_each(engine: EngineProfile, ranks: int) -> float:
     """
     Return what a running request adds to a pass, in seconds, as a first guess.
 
-    >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
+    >>> engine = EngineProfile(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> round(usual_each(engine, 10), 5)
     0.0007
     """
-    return engine.stride * engine.writer_seconds * USUAL_SKEW / ranks
+    return engine.steps_per_pass * engine.decode_seconds * USUAL_SKEW / ranks
--- a/packages/entry/src/briarthread_entry/direct/group_rooms.py
+++ b/packages/entry/src/briarthread_entry/direct/group_rooms.py
@@ -73,7 +73,7 @@
             return PassMeter(0.0, 0.0)
         ranks = len(self._ranks(group, anyio.current_time()))
         usual = usual_each(engine, max(ranks, 1))
-        return PassMeter(engine.stride * engine.step_seconds, usual)
+        return PassMeter(engine.steps_per_pass * engine.step_seconds, usual)
 
     def health(self, group: GroupId) -> GroupHealth:
         """Return the health of a group."""
@@ -118,7 +118,7 @@
         each = self.meter(service, group).each(now)
         if each is None:
             each = self.board.each(str(group), now)
-        most = most_running(len(states), service.engine, request.route.gap_aim, each)
+        most = most_running(len(states), service.engine, request.route.gap_slo, each)
         return GroupRoom(
             serving=self._serves(service, group, now),
             running=self._running(states, now),
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -60,7 +60,7 @@
         account = self._account(headers, route, routes)
         body = await self._read_body(call, headers, routes)
         service = routes.services[self._choose_service(route)]
-        prompt, answer = _size(headers.get(self.names.size, ""))
+        prompt, answer = _size(headers.get(self.names.token_counts, ""))
         patience = self._patience(headers)
         timeout = route.timeout
         priority = route.priority if account.priority is None else account.priority
--- a/packages/entry/src/briarthread_entry/direct/settings.py
+++ b/packages/entry/src/briarthread_entry/direct/settings.py
@@ -13,7 +13,7 @@
     STORE_OPTIONS,
     instance_section,
 )
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_entry.direct.shared_retry_budget import RetryAllowance
 
 CALLERS = SectionSpec(
@@ -70,7 +70,7 @@
     adapter: str
     store: str
     allowance: RetryAllowance
-    spread: SpreadOptions
+    spread: ReplicationOptions
     log_level: str
     log_json: bool
 
@@ -88,7 +88,7 @@
         allowance=RetryAllowance(
             direct["retry_ratio"], direct["retry_slack"], direct["retry_window"]
         ),
-        spread=SpreadOptions(
+        spread=ReplicationOptions(
             name=instance["name"],
             data_centre=instance["data_centre"],
             **values["peers"],
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.direct.answer_notice import AnswerNotice
+from briarthread_common.direct.response_signals import ResponseSignals
 from briarthread_common.utils.backoff import Backoff
 
 SPREAD_SHARE = 0.2
@@ -31,8 +31,8 @@
     seconds on the event loop's clock.
 
     >>> backoffs = TargetBackoffs(Metrics(), random.Random(1))
-    >>> backoffs.note_answer("t-1", AnswerNotice(backoff=3.0), now=1.0)
-    >>> backoffs.note_answer("t-1", AnswerNotice(backoff=0.5), now=2.0)
+    >>> backoffs.note_answer("t-1", ResponseSignals(backoff=3.0), now=1.0)
+    >>> backoffs.note_answer("t-1", ResponseSignals(backoff=0.5), now=2.0)
     >>> backoffs.active("t-1", now=3.9), backoffs.active("t-1", now=4.0)
     (True, False)
     """
@@ -42,7 +42,7 @@
         self.rng = rng
         self.backoffs: dict[str, Backoff] = {}
 
-    def note_answer(self, target: str, notice: AnswerNotice, now: float) -> None:
+    def note_answer(self, target: str, notice: ResponseSignals, now: float) -> None:
         """Record what the head of a response says."""
         if notice.backoff > 0:
             self._extend(target, notice.backoff, now)
--- a/packages/entry/src/briarthread_entry/direct/target_book.py
+++ b/packages/entry/src/briarthread_entry/direct/target_book.py
@@ -47,7 +47,7 @@
         while True:
             number = self.feed.number
             self.refresh(anyio.current_time())
-            await self.feed.wait_beyond(number)
+            await self.feed.wait_for_newer(number)
 
     def of_service(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the targets of a service that new work may be sent to."""
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -150,7 +150,7 @@
         return self.book.accepts_requests(state) and opens_at <= now
 
     def _wait_until(self, request: DirectRequest) -> float:
-        aim = request.route.aim * AIM_SHARE
+        aim = request.route.slo * AIM_SHARE
         return request.arrived + min(aim, LONGEST_WAIT)
 
     def _candidates(
--- a/packages/entry/src/briarthread_entry/entry.py
+++ b/packages/entry/src/briarthread_entry/entry.py
@@ -15,7 +15,7 @@
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.shares.share_view import ShareView
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.spreader import EXCHANGE_PATH, Spreader
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH, FeedReplicator
 from briarthread_common.spread.table_source import TableSource
 from briarthread_common.text.text_view import TextView
 from briarthread_common.utils.clock import Clock
@@ -51,7 +51,7 @@
         self.platform = PlatformClient(
             channel, settings.platform_addresses, settings.platform_timeout
         )
-        self.spreader = Spreader(
+        self.spreader = FeedReplicator(
             settings.spread,
             self.feeds,
             self.directory,
--- a/packages/entry/src/briarthread_entry/maps/group_planner.py
+++ b/packages/entry/src/briarthread_entry/maps/group_planner.py
@@ -12,7 +12,7 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_common.messages.expert_map import ExpertMap
 from briarthread_common.messages.map_report import REPORT_PATH, MapReport
-from briarthread_common.placement.move_rule import Move, Stay, decide_move
+from briarthread_common.placement.move_rule import KeepMap, MapMove, decide_move
 from briarthread_common.placement.popularity import Popularity
 from briarthread_common.platform.lease import Held, HeldByOther, Lease
 from briarthread_common.platform.platform_client import PlatformClient
@@ -96,12 +96,12 @@
             self.text.current().objective,
         )
         match decision:
-            case Stay(reason=reason):
+            case KeepMap(reason=reason):
                 self.events.add("map-stays", group.name, reason)
-            case Move():
+            case MapMove():
                 await self._place(group, decision)
 
-    async def _place(self, group: Group, move: Move) -> None:
+    async def _place(self, group: Group, move: MapMove) -> None:
         lease = Lease(self.platform, self.clock, f"groups/{group.name}", LEASE_SECONDS)
         match await lease.take(self.name):
             case HeldByOther(holder=holder):
--- a/packages/entry/src/briarthread_entry/routing/watcher.py
+++ b/packages/entry/src/briarthread_entry/routing/watcher.py
@@ -11,7 +11,7 @@
 from briarthread_common.http.channel import Channel, ChannelRequest
 from briarthread_common.http.lines import read_lines
 from briarthread_common.messages.load_report import LoadReport, heartbeat_interval
-from briarthread_common.spread.spreader import Spreader
+from briarthread_common.spread.feed_replicator import FeedReplicator
 from briarthread_common.text.text_view import TextView
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.routing.target_state import TargetState
@@ -48,7 +48,7 @@
         table: TargetTable,
         text: TextView,
         channel: Channel,
-        spreader: Spreader,
+        spreader: FeedReplicator,
         clock: Clock,
         events: EventLog,
         rng: random.Random,
@@ -86,7 +86,7 @@
     async def _wait_change(self) -> None:
         with anyio.move_on_after(REFRESH_SECONDS):
             feed = self.table.directory.feed
-            await feed.wait_beyond(feed.number)
+            await feed.wait_for_newer(feed.number)
 
     async def _watch(self, state: TargetState, scope: anyio.CancelScope) -> None:
         with scope:
--- a/packages/entry/src/briarthread_entry/settings.py
+++ b/packages/entry/src/briarthread_entry/settings.py
@@ -13,7 +13,7 @@
     PLATFORM,
     instance_section,
 )
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 
 INSTANCE = instance_section()
 LIMITS = SectionSpec(
@@ -41,7 +41,7 @@
     listen: str
     platform_addresses: tuple[str, ...]
     platform_timeout: float
-    spread: SpreadOptions
+    spread: ReplicationOptions
     drain_notice: float
     drain_timeout: float
     max_in_flight: int = 1000
@@ -57,7 +57,7 @@
         **instance,
         platform_addresses=values["platform"]["addresses"],
         platform_timeout=values["platform"]["timeout"],
-        spread=SpreadOptions(
+        spread=ReplicationOptions(
             name=instance["name"],
             data_centre=instance["data_centre"],
             **values["peers"],
--- a/packages/measure/src/briarthread_measure/agent_farm.py
+++ b/packages/measure/src/briarthread_measure/agent_farm.py
@@ -23,7 +23,7 @@
 from briarthread_common.http.server import HttpServer, open_listener
 from briarthread_common.messages.exchange import Exchange
 from briarthread_common.messages.hello import HELLO_PATH, Hello
-from briarthread_common.spread.spreader import EXCHANGE_PATH
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
 from briarthread_common.utils.clock import Clock
 from briarthread_common.utils.hashing import random_id
 
--- a/packages/measure/src/briarthread_measure/expert_moves.py
+++ b/packages/measure/src/briarthread_measure/expert_moves.py
@@ -22,7 +22,7 @@
 from docopt import docopt
 
 from briarthread_common.messages.expert_map import ExpertMap, even_map
-from briarthread_common.placement.move_rule import Move, decide_move
+from briarthread_common.placement.move_rule import MapMove, decide_move
 from briarthread_common.placement.place_experts import place_experts
 from briarthread_common.placement.popularity import Popularity
 from briarthread_common.placement.rank_loads import map_skew, moved_experts
@@ -126,7 +126,7 @@
         decision = decide_move(
             present.version + 1, present, counts, SLOTS, LOAD_SECONDS, objective
         )
-        return decision.expert_map if isinstance(decision, Move) else None
+        return decision.expert_map if isinstance(decision, MapMove) else None
 
     return policy
 
--- a/packages/measure/src/briarthread_measure/full_size.py
+++ b/packages/measure/src/briarthread_measure/full_size.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from briarthread_common.feeds.feed_patch import WHOLE, FeedPatch
+from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE, FeedPatch
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.shares.share_row import ShareRow, share_name
 from briarthread_common.utils.hashing import key_digest
@@ -99,4 +99,4 @@
 
 def whole(feed: str, items: dict[str, str], number: int = 1) -> FeedPatch:
     """Return a whole patch of a feed."""
-    return FeedPatch(feed, WHOLE, number, dict(items))
+    return FeedPatch(feed, SNAPSHOT_BASE, number, dict(items))
--- a/packages/measure/src/briarthread_measure/map_search_run.py
+++ b/packages/measure/src/briarthread_measure/map_search_run.py
@@ -21,24 +21,24 @@
 
 from docopt import docopt
 
-from briarthread_common.direct.expert_figures import ExpertFigures
+from briarthread_common.direct.expert_layout import ExpertLayout
 from briarthread_common.direct.rank_client import Layers
 from briarthread_common.messages.expert_map import NO_MAP, even_map
-from briarthread_common.placement import quick_change
-from briarthread_common.placement.quick_change import PassLength, set_changes
+from briarthread_common.placement import set_rebalance
 from briarthread_common.placement.rank_loads import slowest_load
+from briarthread_common.placement.set_rebalance import PassDuration, search_set_changes
 from briarthread_measure.expert_moves import spread_text
 
 SIZES = {
-    12: ExpertFigures(sets=4, experts=72, places=8, spare=2),
-    63: ExpertFigures(sets=8, experts=252, places=5, spare=2),
-    129: ExpertFigures(sets=16, experts=258, places=3, spare=2),
+    12: ExpertLayout(sets=4, experts=72, slots_per_rank=8, max_new_experts=2),
+    63: ExpertLayout(sets=8, experts=252, slots_per_rank=5, max_new_experts=2),
+    129: ExpertLayout(sets=16, experts=258, slots_per_rank=3, max_new_experts=2),
 }
 COMMON = 0.65
 """Part of the demand that has the narrower of the two spreads."""
 NARROW, WIDE = 0.8, 1.0
 """Deviations of the log-normal weights."""
-FULL = PassLength(0.12, 0.05)
+FULL = PassDuration(0.12, 0.05)
 """A pass at the longest pause that callers accept, and its fixed part, s."""
 
 
@@ -64,7 +64,7 @@
     started = time.process_time()
     for number, layer in enumerate(layers):
         others = sum(slowest) - slowest[number]
-        *_, change = set_changes(layer, demand[number], others, figures, FULL)
+        *_, change = search_set_changes(layer, demand[number], others, figures, FULL)
         better.append(change.layer)
         loads += change.loads
     milliseconds = (time.process_time() - started) * 1000
@@ -106,7 +106,7 @@
     print("| --- | --- | --- | --- | --- |")
     for ranks in SIZES:
         print(_row(str(ranks), [search(ranks, seed) for seed in seeds]))
-        with mock.patch.object(quick_change, "LOAD_RANKS", math.inf):
+        with mock.patch.object(set_rebalance, "LOAD_COST_RANKS", math.inf):
             found = [search(ranks, seed) for seed in seeds]
         print(_row(f"{ranks}, at the cost of twelve", found))
 
--- a/packages/standins/src/briarthread_standins/direct_agents.py
+++ b/packages/standins/src/briarthread_standins/direct_agents.py
@@ -8,7 +8,7 @@
 
 from briarthread_agent.ranks.direct_agent import DirectAgent
 from briarthread_agent.ranks.settings import DirectAgentSettings
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_common.utils.clock import Clock
 from briarthread_platform.adapter import ADAPTER
 from briarthread_standins.direct_group import DirectGroup
@@ -103,7 +103,7 @@
             target=self.engine_address(number),
             adapter="briarthread_platform.adapter",
             store=STORE,
-            spread=SpreadOptions(name, "palermo", ("10.1.0.1:9",), 4.0, 2.0),
+            spread=ReplicationOptions(name, "palermo", ("10.1.0.1:9",), 4.0, 2.0),
             log_level="INFO",
             log_json=False,
         )
--- a/packages/standins/src/briarthread_standins/direct_world.py
+++ b/packages/standins/src/briarthread_standins/direct_world.py
@@ -8,7 +8,7 @@
 
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.http.channel import Channel, ChannelRequest
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.direct.direct_entry import DirectEntry
 from briarthread_entry.direct.settings import DirectSettings
@@ -104,7 +104,7 @@
             adapter="briarthread_platform.adapter",
             store=STORE,
             allowance=RetryAllowance(0.2, 20.0, 10.0),
-            spread=SpreadOptions(name, data_centre, ("10.1.0.1:9",), 4.0, 2.0),
+            spread=ReplicationOptions(name, data_centre, ("10.1.0.1:9",), 4.0, 2.0),
             log_level="INFO",
             log_json=False,
         )
--- a/packages/standins/src/briarthread_standins/play_load.py
+++ b/packages/standins/src/briarthread_standins/play_load.py
@@ -89,7 +89,7 @@
             MODEL,
             group=f"g-{number % groups}",
         )
-        await store.list_instance(row)
+        await store.register_instance(row)
 
 
 async def _break_for_a_while(group: LoadedGroup, day: LoadDay) -> None:
--- a/packages/standins/src/briarthread_standins/world.py
+++ b/packages/standins/src/briarthread_standins/world.py
@@ -18,7 +18,7 @@
 )
 from briarthread_common.platform.feed_store import FeedStore
 from briarthread_common.platform.platform_client import PlatformClient
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_common.text.split_text import split_text
 from briarthread_common.text.text_store import ApplyResult, TextStore
 from briarthread_common.utils.clock import Clock
@@ -263,11 +263,11 @@
             "drain_timeout": DRAIN_TIMEOUT,
         }
 
-    def _spread_options(self, instance: Instance) -> SpreadOptions:
+    def _spread_options(self, instance: Instance) -> ReplicationOptions:
         seeds = [
             row.address for row in self.instances.values() if row.name != instance.name
         ]
-        return SpreadOptions(
+        return ReplicationOptions(
             instance.name, instance.data_centre, tuple(seeds), 4.0, 2.0
         )
 
--- a/tests/direct/test_configuration.py
+++ b/tests/direct/test_configuration.py
@@ -200,7 +200,7 @@
 def test_followers_that_the_platform_turns_away_hold_nobody_up() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        duty = world.entries["entry-1"].spreader.poll_duty.names()
+        duty = world.entries["entry-1"].spreader.poller_selection.names()
         world.store.turned_away = {world.entries[name].settings.listen for name in duty}
         world.store.put("op", "config", new_config(2))
         await anyio.sleep(IN_FORCE_SECONDS)
@@ -212,7 +212,7 @@
 def test_followers_that_die_are_replaced_in_time() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        duty = world.entries["entry-1"].spreader.poll_duty.names()
+        duty = world.entries["entry-1"].spreader.poller_selection.names()
         for name in duty:
             entry = world.entries[name]
             world.network.freeze(entry.settings.listen, True)
--- a/tests/direct/test_leaving_targets.py
+++ b/tests/direct/test_leaving_targets.py
@@ -5,7 +5,7 @@
 from builders import build_head
 from direct_builders import DIARY, MODEL, in_direct_world
 
-from briarthread_common.direct.answer_notice import read_notice
+from briarthread_common.direct.response_signals import read_response_signals
 from briarthread_standins.direct_world import DirectWorld
 
 LIST = "/list/1"
@@ -130,7 +130,7 @@
     values: list[str], leaving: bool
 ) -> None:
     head = build_head(200, *(("leaving", value) for value in values))
-    assert read_notice(head, "leaving").leaving is leaving
+    assert read_response_signals(head, "leaving").leaving is leaving
 
 
 def test_response_of_another_target_announces_nothing() -> None:
--- a/tests/direct/test_pass_meter.py
+++ b/tests/direct/test_pass_meter.py
@@ -12,7 +12,9 @@
 def build_meter() -> PassMeter:
     """Return the meter of an entry that has just started."""
     engine = build_engine()
-    return PassMeter(engine.stride * engine.step_seconds, usual_each(engine, RANKS))
+    return PassMeter(
+        engine.steps_per_pass * engine.step_seconds, usual_each(engine, RANKS)
+    )
 
 
 def room(meter: PassMeter, now: float) -> int:
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -151,7 +151,7 @@
         moved = type(row)(
             row.name, row.data_centre, row.address, row.role, MODEL, group="g-1"
         )
-        await entry.store.list_instance(moved)
+        await entry.store.register_instance(moved)
         await anyio.sleep(2)
         assert entry.roster.of(target) == SECOND
 
--- a/tests/direct_builders.py
+++ b/tests/direct_builders.py
@@ -7,7 +7,7 @@
 from briarthread_common.direct.call_kind import CallKind
 from briarthread_common.direct.direct_service import DirectService
 from briarthread_common.direct.direct_target import DirectTarget
-from briarthread_common.direct.engine_figures import EngineFigures
+from briarthread_common.direct.engine_profile import EngineProfile
 from briarthread_common.direct.host_route import HostRoute, RouteShare
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.target_state import DirectTargetState
@@ -26,9 +26,9 @@
 __all__ = ["DIARY", "MODEL", "build_config", "build_engine_row", "build_route_row"]
 
 
-def build_engine() -> EngineFigures:
+def build_engine() -> EngineProfile:
     """Return the figures of an engine with six slots."""
-    return EngineFigures(6, 0.00585, 0.00071, 0.00007, 61200.0, 0.0003, 512, 5)
+    return EngineProfile(6, 0.00585, 0.00071, 0.00007, 61200.0, 0.0003, 512, 5)
 
 
 def build_target(name: str = "t-1", **changes: object) -> DirectTarget:
@@ -58,8 +58,8 @@
         CallKind.STREAM,
         (RouteShare(MODEL, 1.0),),
         timeout=8.0,
-        aim=0.4,
-        gap_aim=0.12,
+        slo=0.4,
+        gap_slo=0.12,
         max_attempts=2,
         resumable=True,
     )
--- a/tests/fuzz/test_rank_maps.py
+++ b/tests/fuzz/test_rank_maps.py
@@ -65,8 +65,12 @@
 @pytest.fixture(autouse=True)
 def long_passes(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the stand-in's passes count as those of a fully loaded group."""
-    monkeypatch.setattr("briarthread_common.placement.quick_change.CALM_PASS", 0.01)
-    monkeypatch.setattr("briarthread_common.placement.quick_change.FULL_PASS", 0.02)
+    monkeypatch.setattr(
+        "briarthread_common.placement.set_rebalance.ZERO_WEIGHT_PASS_SECONDS", 0.01
+    )
+    monkeypatch.setattr(
+        "briarthread_common.placement.set_rebalance.FULL_WEIGHT_PASS_SECONDS", 0.02
+    )
 
 
 @pytest.fixture(autouse=True)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -18,9 +18,9 @@
     found = routes()
     route = found.match("salon.example", "/chat/anything")
     assert found.version == 7
-    assert (route.kind, route.timeout, route.gap_aim) == (CallKind.STREAM, 4.0, 0.12)
+    assert (route.kind, route.timeout, route.gap_slo) == (CallKind.STREAM, 4.0, 0.12)
     assert route.repeatable
-    assert found.services["model"].engine.stride == 5
+    assert found.services["model"].engine.steps_per_pass == 5
     assert found.accounts["key-2"].name == "salon"
     assert found.limits.idle_timeout == 15.0
 
@@ -68,7 +68,7 @@
         "seq": 4,
     }
     found = ADAPTER.decode_target("i-1", json.dumps(row))
-    assert (found.name, found.leaving, found.cold_seconds) == ("i-1", leaving, 1.5)
+    assert (found.name, found.leaving, found.warmup_seconds) == ("i-1", leaving, 1.5)
 
 
 def test_malformed_worker_row_names_the_worker() -> None:
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -59,7 +59,7 @@
     assert host_of(target.address) == host
     assert 0 < int(port) < 65536
     assert target.slots >= 0
-    assert 0 <= target.cold_seconds < float("inf")
+    assert 0 <= target.warmup_seconds < float("inf")
 
 
 @given(ROWS)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -6,7 +6,7 @@
 import pytest
 
 from briarthread_common.core.exceptions import HistoryGoneError, PlatformError
-from briarthread_common.feeds.feed_patch import WHOLE
+from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_platform.store import Store
 from briarthread_standins.fake_network import FakeNetwork
@@ -35,8 +35,8 @@
         users_store.page = 2
         for number in range(5):
             users_store.put("servers", f"i-{number}", {"n": number})
-        patch = await client.read_whole("targets")
-        assert (patch.base, patch.number) == (WHOLE, 5)
+        patch = await client.read_snapshot("targets")
+        assert (patch.base, patch.number) == (SNAPSHOT_BASE, 5)
         assert patch.changes["i-4"] == '{"n":4}'
         assert len(patch.changes) == 5
 
@@ -46,7 +46,7 @@
 def test_follow_waits_for_a_change_and_tells_dropped_rows() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
-        before = (await client.read_whole("targets")).number
+        before = (await client.read_snapshot("targets")).number
 
         async def change() -> None:
             await anyio.sleep(1)
@@ -54,7 +54,7 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(change)
-            patch = await client.follow("targets", before, 4.0)
+            patch = await client.long_poll("targets", before, 4.0)
         assert patch.changes == {"i-1": None}
         assert patch.number > before
         assert anyio.current_time() < 2
@@ -64,7 +64,7 @@
 
 def test_follow_without_news_ends_after_the_wait() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
-        patch = await client.follow("targets", 0, 4.0)
+        patch = await client.long_poll("targets", 0, 4.0)
         assert patch.changes == {}
         assert 4 <= anyio.current_time() < 5
 
@@ -76,7 +76,7 @@
         users_store.put("servers", "i-1", {})
         users_store.forget()
         with pytest.raises(HistoryGoneError):
-            await client.follow("targets", 0, 0.0)
+            await client.long_poll("targets", 0, 0.0)
 
     with_store(scenario)
 
@@ -86,7 +86,7 @@
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.refuse = status
         with pytest.raises(PlatformError, match=str(status)):
-            await client.read_whole("targets")
+            await client.read_snapshot("targets")
 
     with_store(scenario)
 
@@ -95,7 +95,7 @@
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.silent = True
         with pytest.raises(PlatformError, match="no answer"):
-            await client.read_whole("targets")
+            await client.read_snapshot("targets")
         assert anyio.current_time() < 1.5
 
     with_store(scenario)
@@ -103,9 +103,9 @@
 
 def test_instance_is_listed_in_a_table_of_our_own() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
-        await client.list_instance(ROW)
+        await client.register_instance(ROW)
         assert b"entry-1" in users_store.value("instances", "entry-1")
-        patch = await client.read_whole("instances")
+        patch = await client.read_snapshot("instances")
         assert "entry-1" in patch.changes
 
     with_store(scenario)
@@ -113,8 +113,8 @@
 
 def test_seat_is_taken_by_one_and_numbers_only_rise() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
-        first = await client.take_seat("maps/g", "agent-1")
-        second = await client.take_seat("maps/g", "agent-2")
+        first = await client.acquire_role("maps/g", "agent-1")
+        second = await client.acquire_role("maps/g", "agent-2")
         assert first is not None
         assert second is not None
         assert second > first
@@ -130,14 +130,14 @@
 
         async def slow() -> None:
             try:
-                taken.append(await client.take_seat("maps/g", "agent-1"))
+                taken.append(await client.acquire_role("maps/g", "agent-1"))
             except PlatformError:
                 taken.append(None)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(slow)
             await anyio.sleep(0.1)
-            assert await client.take_seat("maps/g", "agent-2") is not None
+            assert await client.acquire_role("maps/g", "agent-2") is not None
         assert taken == [None]
         assert users_store.value("seats", "maps/g") == b"agent-2"
 
@@ -148,7 +148,7 @@
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.lose_writes = 1
         with pytest.raises(PlatformError):
-            await client.list_instance(ROW)
+            await client.register_instance(ROW)
         assert users_store.value("instances", "entry-1") is not None
 
     with_store(scenario)
--- a/tests/spread/test_tree.py
+++ b/tests/spread/test_tree.py
@@ -3,7 +3,7 @@
 import pytest
 
 from briarthread_common.messages.instance import Instance, InstanceRole
-from briarthread_common.spread.tree import root_of, told_by
+from briarthread_common.spread.tree import push_targets, root_of
 
 
 def build_tree(entries: int, agents: int) -> list[Instance]:
@@ -26,7 +26,7 @@
     entries: int, agents: int
 ) -> None:
     tree = build_tree(entries, agents)
-    told = [row.name for teller in tree for row in told_by(teller.name, tree)]
+    told = [row.name for teller in tree for row in push_targets(teller.name, tree)]
     root = next(row.name for row in tree if root_of(row.name, tree) is None)
     assert sorted(told) == sorted(row.name for row in tree if row.name != root)
 
@@ -34,12 +34,12 @@
 def test_agents_send_a_text_to_nobody_where_there_are_entries() -> None:
     tree = build_tree(3, 4)
     agents = [row for row in tree if row.role is InstanceRole.TARGET]
-    assert [told_by(row.name, tree) for row in agents] == [[]] * 4
+    assert [push_targets(row.name, tree) for row in agents] == [[]] * 4
 
 
 def test_entry_that_is_not_listed_yet_tells_the_first() -> None:
     tree = build_tree(5, 2)
-    names = [row.name for row in told_by("entry-new", tree)]
+    names = [row.name for row in push_targets("entry-new", tree)]
     assert names == ["entry-0", "entry-1", "entry-2"]
     root = root_of("entry-new", tree)
     assert root is not None
