--- a/packages/agent/src/briarthread_agent/ranks/direct_agent.py
+++ b/packages/agent/src/briarthread_agent/ranks/direct_agent.py
@@ -32,9 +32,9 @@
 from briarthread_common.http.status_pages import StatusPages
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.spread.directory import Directory
+from briarthread_common.spread.ensure_registered import ensure_registered
 from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
 from briarthread_common.spread.long_poll_replicator import LongPollReplicator
-from briarthread_common.spread.register_instance import register_instance
 from briarthread_common.utils.clock import Clock
 
 NEAR = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
@@ -121,7 +121,7 @@
         while True:
             row = self._row()
             if row != listed:
-                await register_instance(row, self.directory, self.store)
+                await ensure_registered(row, self.directory, self.store)
                 listed = row
             await anyio.sleep(GROUP_SECONDS)
 
--- a/packages/common/src/briarthread_common/spread/register_instance.py
+++ b/packages/common/src/briarthread_common/spread/ensure_registered.py
@@ -12,7 +12,7 @@
 """Pause before the next try where the platform did not take it."""
 
 
-async def register_instance(
+async def ensure_registered(
     row: Instance, directory: Directory, store: PlatformStore
 ) -> None:
     """Enter an instance in the list, unless it is there already."""
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -19,9 +19,9 @@
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
+from briarthread_common.spread.ensure_registered import ensure_registered
 from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
 from briarthread_common.spread.long_poll_replicator import LongPollReplicator
-from briarthread_common.spread.register_instance import register_instance
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.direct.attempt_sender import AttemptSender
 from briarthread_entry.direct.crash_book import CrashBook
@@ -217,7 +217,7 @@
             self.settings.listen,
             InstanceRole.ENTRY,
         )
-        await register_instance(row, self.directory, self.store)
+        await ensure_registered(row, self.directory, self.store)
 
     def _report(self) -> RunningReport:
         """Return what other entries are told of what runs here."""
