--- a/packages/agent/src/briarthread_agent/agent.py
+++ b/packages/agent/src/briarthread_agent/agent.py
@@ -7,14 +7,9 @@
 from loguru import logger
 
 from briarthread_agent.attempts.attempt_handler import AttemptHandler
-from briarthread_agent.attempts.ledger import Ledger
-from briarthread_agent.attempts.runner import Runner, wait_for_drain
+from briarthread_agent.attempts.attempt_runner import AttemptRunner, wait_for_drain
+from briarthread_agent.attempts.record_store import RecordStore
 from briarthread_agent.attempts.target_client import TargetClient
-from briarthread_agent.holding.gap_watch import GapWatch
-from briarthread_agent.holding.hand_over import import_answers
-from briarthread_agent.holding.kept_answer import HandOver
-from briarthread_agent.holding.share_guard import ShareGuard
-from briarthread_agent.holding.share_keeper import MEMORY_PATH, ShareKeeper
 from briarthread_agent.limits.fair_queue import FairQueue
 from briarthread_agent.limits.target_backoff import TargetBackoff
 from briarthread_agent.maps.engine_client import EngineClient
@@ -23,6 +18,11 @@
 from briarthread_agent.maps.map_keeper import MapKeeper
 from briarthread_agent.reports.load_reporter import LoadReporter
 from briarthread_agent.settings import AgentSettings
+from briarthread_agent.shares.exported_record import HandOver
+from briarthread_agent.shares.freeze_detector import FreezeDetector
+from briarthread_agent.shares.hand_over import import_records
+from briarthread_agent.shares.share_guard import ShareGuard
+from briarthread_agent.shares.share_manager import HAND_OVER_PATH, ShareManager
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.core.metrics import Metrics
@@ -43,9 +43,9 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_common.utils.hashing import random_id
 
-FIRST_SLOTS = 8
-FIRST_QUEUE = 64
-MILLISECONDS = 1000
+INITIAL_SLOTS = 8
+INITIAL_QUEUE_LIMIT = 64
+MS_PER_SECOND = 1000
 
 
 class Agent:
@@ -65,7 +65,7 @@
         self.incarnation = random_id(rng)
         self.metrics = Metrics()
         self.events = EventLog(clock, "agent")
-        self.me = Instance(
+        self.instance = Instance(
             settings.name,
             settings.data_centre,
             settings.listen,
@@ -78,7 +78,7 @@
         platform = PlatformClient(
             channel, settings.platform_addresses, settings.platform_timeout
         )
-        self.spreader = Spreader(
+        self.replicator = Spreader(
             settings.spread,
             self.feeds,
             self.directory,
@@ -86,38 +86,40 @@
             channel,
             rng,
         )
-        self.gap = GapWatch(clock)
+        self.freeze_detector = FreezeDetector(clock)
         self.guard = ShareGuard(
             clock,
-            self.me,
+            self.instance,
             self.incarnation,
             ShareView(self.feeds.shares),
             self.text,
-            self.gap,
+            self.freeze_detector,
         )
-        self.ledger = Ledger(clock)
-        self.keeper = ShareKeeper(
+        self.record_store = RecordStore(clock)
+        self.share_manager = ShareManager(
             self.guard,
-            self.ledger,
+            self.record_store,
             self.feeds,
             self.directory,
             platform,
-            self.spreader,
+            self.replicator,
             channel,
             self.events,
             rng,
         )
         self.backoff = TargetBackoff(self.metrics)
-        self.queue = FairQueue(clock, self.backoff, FIRST_SLOTS, FIRST_QUEUE)
+        self.queue = FairQueue(clock, self.backoff, INITIAL_SLOTS, INITIAL_QUEUE_LIMIT)
         self.reporter = LoadReporter(self.incarnation, self.queue, self.backoff)
         target = TargetClient(
             channel, settings.target, self.backoff, self._on_target_leaving
         )
-        runner = Runner(clock, self.ledger, self.queue, target, self.guard, tasks)
+        runner = AttemptRunner(
+            clock, self.record_store, self.queue, target, self.guard, tasks
+        )
         self.handler = AttemptHandler(
             runner, self.reporter, self.text, settings.service, self.metrics
         )
-        epoch = int(clock.now() * MILLISECONDS)
+        epoch = int(clock.now() * MS_PER_SECOND)
         self.maps = MapKeeper(
             settings.name,
             self.incarnation,
@@ -130,9 +132,9 @@
 
     def start(self) -> None:
         """Start the background tasks in the task group."""
-        self.tasks.start_soon(self.spreader.run)
-        self.tasks.start_soon(self.gap.run)
-        self.tasks.start_soon(self.keeper.run)
+        self.tasks.start_soon(self.replicator.run)
+        self.tasks.start_soon(self.freeze_detector.run)
+        self.tasks.start_soon(self.share_manager.run)
         self.tasks.start_soon(self._follow_text)
         self.tasks.start_soon(self.queue.follow_backoff)
         self.tasks.start_soon(self.maps.run)
@@ -150,7 +152,7 @@
         await anyio.sleep(self.settings.drain_notice)
         await wait_for_drain(self.queue, self.settings.drain_timeout)
         try:
-            await self.keeper.send_late_answers()
+            await self.share_manager.send_late_records()
         except ChannelError as error:
             logger.warning("agent: late answers were not handed over: {}", error)
         self.reporter.close()
@@ -168,12 +170,12 @@
         self.tasks.start_soon(self._hand_over_shares)
 
     def _refuse_new_attempts(self) -> None:
-        self.reporter.drain()
+        self.reporter.announce_drain()
         self.guard.draining = True
 
     async def _hand_over_shares(self) -> None:
         with anyio.move_on_after(self.settings.drain_timeout):
-            await self.keeper.hand_over_all()
+            await self.share_manager.hand_over_all()
 
     def ready(self) -> str:
         """Return why the agent is not ready, or nothing."""
@@ -190,8 +192,8 @@
             Route("POST", "/agent/v1/revoke", self.handler.handle_revoke),
             Route("GET", "/agent/v1/load", self.reporter.handle_stream),
             Route("GET", HELLO_PATH, self._handle_hello),
-            Route("POST", MEMORY_PATH, self._handle_memory),
-            Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
+            Route("POST", HAND_OVER_PATH, self._handle_memory),
+            Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
             *MapHandlers(self.maps).routes(),
             *pages.routes(),
         ]
@@ -202,8 +204,8 @@
     async def _handle_memory(self, call: Call) -> None:
         message = await call.read_json(HandOver, MAX_MESSAGE_BYTES)
         service = self.text.current().services[message.service]
-        import_answers(
-            self.ledger, message.service, message.answers, service.answer_bytes
+        import_records(
+            self.record_store, message.service, message.answers, service.answer_bytes
         )
         await call.reply_json(True)
 
@@ -223,10 +225,10 @@
             "role": "agent",
             "incarnation": self.incarnation,
             "versions": self.feeds.versions(),
-            "platform": "up" if self.spreader.platform_up else "down",
+            "platform": "up" if self.replicator.platform_up else "down",
             "running": self.queue.running,
             "queued": len(self.queue.waiting),
             "backoff_seconds": self.backoff.seconds_left(),
-            "shares": [row.share for row in self.guard.held()],
+            "shares": [row.share for row in self.guard.held_rows()],
             "ready": self.ready() or "yes",
         }
--- a/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
@@ -3,8 +3,8 @@
 import anyio
 import msgspec
 
+from briarthread_agent.attempts.attempt_runner import AttemptRunner
 from briarthread_agent.attempts.record import Record
-from briarthread_agent.attempts.runner import Runner
 from briarthread_agent.reports.load_reporter import LoadReporter
 from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        runner: Runner,
+        runner: AttemptRunner,
         reporter: LoadReporter,
         text: TextView,
         service: str,
@@ -54,14 +54,14 @@
         try:
             await self._follow(call, record)
         finally:
-            self.runner.leave(record)
+            self.runner.remove_reader(record)
 
     async def handle_revoke(self, call: Call) -> None:
         """Take an attempt back if it has not started."""
         request = await call.read_json(RevokeRequest, REVOKE_BYTES)
         if request.incarnation != self.reporter.incarnation:
             raise RequestError(ErrorKind.WRONG_INCARNATION, "revoke for another")
-        state = self.runner.ledger.revoke(request)
+        state = self.runner.record_store.revoke(request)
         await call.reply_json(RevokeAnswer(state))
 
     async def _submit(self, call: Call) -> Record:
@@ -89,11 +89,11 @@
             tasks.cancel_scope.cancel()
 
     async def _send_answer(self, call: Call, record: Record) -> None:
-        answer = record.answer
-        await answer.wait_head()
+        answer = record.response
+        await answer.wait_for_head()
         is_stream = dict(answer.headers).get("content-type", "").startswith(STREAM_TYPE)
         if not is_stream:
-            await answer.wait_end()
+            await answer.wait_for_end()
         head = [*answer.headers, (RESULT_HEADER, ANSWERED), self._load()]
         if answer.finished:
             await call.reply(answer.status, b"".join(answer.chunks), head)
--- a/packages/agent/src/briarthread_agent/attempts/runner.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_runner.py
@@ -5,9 +5,9 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from briarthread_agent.attempts.answer_buffer import Headers
-from briarthread_agent.attempts.ledger import CLOCK_BOUND, Ledger
 from briarthread_agent.attempts.record import Record, RecordState
+from briarthread_agent.attempts.record_store import MAX_CLOCK_SKEW, RecordStore
+from briarthread_agent.attempts.response_buffer import Headers
 from briarthread_agent.attempts.target_client import TargetClient
 from briarthread_agent.limits.fair_queue import FairQueue
 from briarthread_common.core.error_kind import ErrorKind
@@ -16,7 +16,7 @@
 from briarthread_common.text.service import Service
 from briarthread_common.utils.clock import Clock
 
-START_PART = 0.7
+MIN_TIME_LEFT_FACTOR = 0.7
 """Part of the mean service time that must be left for a run to begin."""
 
 
@@ -28,7 +28,7 @@
         ...
 
 
-class Runner:
+class AttemptRunner:
     """
     Run each new key once and let later attempts of it join the run.
 
@@ -39,14 +39,14 @@
     def __init__(
         self,
         clock: Clock,
-        ledger: Ledger,
+        record_store: RecordStore,
         queue: FairQueue,
         target: TargetClient,
         guard: StartGuard,
         tasks: TaskGroup,
     ) -> None:
         self.clock = clock
-        self.ledger = ledger
+        self.record_store = record_store
         self.queue = queue
         self.target = target
         self.guard = guard
@@ -62,23 +62,23 @@
         ran or will run.
         """
         fingerprint = attempt.fingerprint(body)
-        record = self.ledger.find(attempt, fingerprint)
+        record = self.record_store.find(attempt, fingerprint)
         if record is not None:
             return record
         self.guard.check_start(attempt)
         expires = self._expiry(attempt, service)
         record = Record(attempt, fingerprint, expires, service.answer_bytes)
-        self.ledger.add(record)
+        self.record_store.add(record)
         self.tasks.start_soon(self._run, record, headers, body)
         return record
 
-    def leave(self, record: Record) -> None:
+    def remove_reader(self, record: Record) -> None:
         """Note that a reader is gone; cancel a run that none waits for."""
         record.readers -= 1
-        if record.readers == 0 and not record.answer.ended and not record.must_finish:
+        if record.readers == 0 and not record.response.ended and not record.must_finish:
             record.scope.cancel()
             if record.state is RecordState.QUEUED:
-                self.ledger.forget(record)
+                self.record_store.discard(record)
 
     async def _run(self, record: Record, headers: Headers, body: bytes) -> None:
         attempt = record.attempt
@@ -89,16 +89,16 @@
                 ):
                     self._check_still_allowed(record)
                     record.state = RecordState.RUNNING
-                    await self.target.run(attempt, headers, body, record.answer)
+                    await self.target.run(attempt, headers, body, record.response)
         except RequestError as error:
-            record.answer.fail(error)
-            self.ledger.forget(record)
+            record.response.fail(error)
+            self.record_store.discard(record)
             return
-        if not record.answer.ended:
-            record.answer.fail(self._cancelled(record))
+        if not record.response.ended:
+            record.response.fail(self._cancelled(record))
         record.state = RecordState.ENDED
         if self._never_reached(record):
-            self.ledger.forget(record)
+            self.record_store.discard(record)
 
     def _check_still_allowed(self, record: Record) -> None:
         """Check again after the wait; a revoke or a freeze may lie between."""
@@ -109,16 +109,16 @@
                 ErrorKind.DEADLINE_PASSED, "deadline passed in the queue"
             )
         left = record.attempt.deadline - self.clock.now()
-        if left < START_PART * self.queue.mean_service_time():
+        if left < MIN_TIME_LEFT_FACTOR * self.queue.mean_service_time():
             raise RequestError(
                 ErrorKind.DEADLINE_UNMEETABLE,
                 "too little time left to run",
-                retry_after=self.queue.backlog(),
+                retry_after=self.queue.backlog_seconds(),
             )
         self.guard.check_start(record.attempt)
 
     def _expiry(self, attempt: Attempt, service: Service) -> float:
-        kept = attempt.deadline + CLOCK_BOUND
+        kept = attempt.deadline + MAX_CLOCK_SKEW
         if attempt.keyed and not attempt.idempotent:
             return max(kept, self.clock.now() + service.retry_horizon)
         return kept
@@ -130,7 +130,7 @@
         return RequestError(ErrorKind.OUTCOME_UNKNOWN, "cancelled while it ran")
 
     def _never_reached(self, record: Record) -> bool:
-        error = record.answer.error
+        error = record.response.error
         return error is not None and error.kind is ErrorKind.NO_TARGET
 
 
--- a/packages/agent/src/briarthread_agent/attempts/record.py
+++ b/packages/agent/src/briarthread_agent/attempts/record.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from briarthread_agent.attempts.answer_buffer import AnswerBuffer
+from briarthread_agent.attempts.response_buffer import ResponseBuffer
 from briarthread_common.messages.attempt import Attempt
 
 
@@ -35,7 +35,7 @@
         self.readers = 0
         self.imported = False
         self.state = RecordState.QUEUED
-        self.answer = AnswerBuffer(limit)
+        self.response = ResponseBuffer(limit)
         self.scope = anyio.CancelScope()
 
     @property
--- a/packages/agent/src/briarthread_agent/attempts/ledger.py
+++ b/packages/agent/src/briarthread_agent/attempts/record_store.py
@@ -9,11 +9,11 @@
 from briarthread_common.messages.revoke import RevokeRequest, RevokeState
 from briarthread_common.utils.clock import Clock
 
-CLOCK_BOUND = 2.0
+MAX_CLOCK_SKEW = 2.0
 """Seconds by which clocks of two machines may differ; see the settings page."""
 
 
-class Ledger:
+class RecordStore:
     """
     Remember each key that came and each attempt that was revoked.
 
@@ -44,7 +44,7 @@
             raise RequestError(
                 ErrorKind.KEY_REUSED, "the key was used for another request"
             )
-        if attempt.idempotent and record.answer.error is not None:
+        if attempt.idempotent and record.response.error is not None:
             return None
         record.ids.add(attempt.id)
         return record
@@ -54,7 +54,7 @@
         self.records[record.attempt.key] = record
         heapq.heappush(self.expiries, (record.expires, record.attempt.key))
 
-    def forget(self, record: Record) -> None:
+    def discard(self, record: Record) -> None:
         """Drop a record whose run never started."""
         if self.records.get(record.attempt.key) is record:
             del self.records[record.attempt.key]
@@ -78,8 +78,8 @@
             return RevokeState.RUNNING
         self._bury(request)
         record.scope.cancel()
-        record.answer.fail(RequestError(ErrorKind.REVOKED, "attempt was revoked"))
-        self.forget(record)
+        record.response.fail(RequestError(ErrorKind.REVOKED, "attempt was revoked"))
+        self.discard(record)
         return RevokeState.REVOKED
 
     def expire(self) -> None:
@@ -91,18 +91,18 @@
             record = self.records.get(key)
             if record is None or record.expires > now:
                 continue
-            if record.answer.ended:
+            if record.response.ended:
                 del self.records[key]
             elif record.imported:
-                record.answer.fail(
+                record.response.fail(
                     RequestError(ErrorKind.OUTCOME_UNKNOWN, "last holder is gone")
                 )
                 del self.records[key]
             else:
-                record.expires = now + CLOCK_BOUND
+                record.expires = now + MAX_CLOCK_SKEW
                 heapq.heappush(self.expiries, (record.expires, key))
 
     def _bury(self, request: RevokeRequest) -> None:
-        expires = request.deadline + CLOCK_BOUND
+        expires = request.deadline + MAX_CLOCK_SKEW
         self.tombstones[request.id] = expires
         heapq.heappush(self.expiries, (expires, request.id))
--- a/packages/agent/src/briarthread_agent/attempts/answer_buffer.py
+++ b/packages/agent/src/briarthread_agent/attempts/response_buffer.py
@@ -10,7 +10,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-class AnswerBuffer:
+class ResponseBuffer:
     """
     Collect an answer while any number of readers follow it.
 
@@ -59,14 +59,14 @@
         """Tell whether nothing more will come."""
         return self.finished or self.error is not None
 
-    async def wait_head(self) -> None:
+    async def wait_for_head(self) -> None:
         """Return once there is a head; raise RequestError if none comes."""
         while self.status == 0:
             if self.error is not None:
                 raise self.error
             await self.changed.wait()
 
-    async def wait_end(self) -> None:
+    async def wait_for_end(self) -> None:
         """Return once the answer is whole; raise RequestError otherwise."""
         while not self.ended:
             await self.changed.wait()
--- a/packages/agent/src/briarthread_agent/attempts/target_client.py
+++ b/packages/agent/src/briarthread_agent/attempts/target_client.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from briarthread_agent.attempts.answer_buffer import AnswerBuffer, Headers
+from briarthread_agent.attempts.response_buffer import Headers, ResponseBuffer
 from briarthread_agent.limits.target_backoff import TargetBackoff
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import (
@@ -40,7 +40,7 @@
         self.on_leaving = on_leaving
 
     async def run(
-        self, attempt: Attempt, headers: Headers, body: bytes, answer: AnswerBuffer
+        self, attempt: Attempt, headers: Headers, body: bytes, answer: ResponseBuffer
     ) -> None:
         """
         Send the request and fill the answer; never raise a channel's error.
@@ -71,7 +71,7 @@
 
     def _note_head(self, response: ChannelResponse) -> None:
         notice = read_notice(response, LEAVING_HEADER)
-        self.backoff.note_answer(notice)
+        self.backoff.note_response(notice)
         if notice.leaving:
             self.on_leaving()
 
--- a/packages/agent/src/briarthread_agent/limits/fair_queue.py
+++ b/packages/agent/src/briarthread_agent/limits/fair_queue.py
@@ -13,7 +13,7 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_common.utils.decaying_mean import DecayingMean
 
-FIRST_GUESS = 0.02
+INITIAL_SERVICE_TIME = 0.02
 """Service time in seconds that is assumed before the first answer."""
 MAX_BACKOFF_WAIT = 0.2
 """Longest remaining backoff in seconds that an attempt waits for. With a longer one it
@@ -42,8 +42,8 @@
         self.limit = limit
         self.running = 0
         self.waiting: list[Waiter] = []
-        self.virtual = 0.0
-        self.tags: dict[str, float] = {}
+        self.virtual_time = 0.0
+        self.start_tags: dict[str, float] = {}
         self.service_time = DecayingMean(weight=0.1)
 
     @asynccontextmanager
@@ -67,7 +67,11 @@
 
     def mean_service_time(self) -> float:
         """Return the mean time in seconds that a slot is held."""
-        return self.service_time.value if self.service_time.samples else FIRST_GUESS
+        return (
+            self.service_time.value
+            if self.service_time.samples
+            else INITIAL_SERVICE_TIME
+        )
 
     def predicted_wait(self, ahead: int) -> float:
         """Return the seconds until an attempt with ``ahead`` before it starts."""
@@ -76,7 +80,7 @@
             return backoff
         return backoff + (ahead + 1) * self.mean_service_time() / self.slots
 
-    def backlog(self) -> float:
+    def backlog_seconds(self) -> float:
         """Return the seconds that the present queue takes to work off."""
         return self.predicted_wait(len(self.waiting))
 
@@ -108,11 +112,11 @@
         if self.running < self._usable_slots() and not self.waiting:
             self._grant(waiter)
             return
-        ahead = sum(1 for other in self.waiting if other.order < waiter.order)
+        ahead = sum(1 for other in self.waiting if other.sort_key < waiter.sort_key)
         self._check_deadline(ahead, deadline)
         self._make_room(waiter)
         self.waiting.append(waiter)
-        self.tags[account] = waiter.tag + 1 / weight
+        self.start_tags[account] = waiter.tag + 1 / weight
         try:
             await waiter.event.wait()
         except BaseException:
@@ -122,7 +126,7 @@
             raise waiter.refusal
 
     def _tag(self, account: str, weight: float) -> float:
-        return max(self.virtual, self.tags.get(account, 0.0))
+        return max(self.virtual_time, self.start_tags.get(account, 0.0))
 
     def _check_deadline(self, ahead: int, deadline: float) -> None:
         wait = self.predicted_wait(ahead)
@@ -130,7 +134,7 @@
             raise RequestError(
                 ErrorKind.DEADLINE_UNMEETABLE,
                 f"predicted wait is {wait:.2f} s",
-                retry_after=self.backlog(),
+                retry_after=self.backlog_seconds(),
             )
 
     def _make_room(self, waiter: Waiter) -> None:
@@ -138,7 +142,7 @@
             return
         victim = self._largest_account_last(waiter)
         error = RequestError(
-            ErrorKind.OVERLOADED, "queue is full", retry_after=self.backlog()
+            ErrorKind.OVERLOADED, "queue is full", retry_after=self.backlog_seconds()
         )
         if victim is None:
             raise error
@@ -156,14 +160,14 @@
             return None
         return max(
             (other for other in self.waiting if other.account == largest),
-            key=lambda other: other.order,
+            key=lambda other: other.sort_key,
         )
 
     def _grant(self, waiter: Waiter) -> None:
         self.running += 1
-        self.virtual = max(self.virtual, waiter.tag)
-        self.tags[waiter.account] = max(
-            self.tags.get(waiter.account, 0.0), waiter.tag + 1 / waiter.weight
+        self.virtual_time = max(self.virtual_time, waiter.tag)
+        self.start_tags[waiter.account] = max(
+            self.start_tags.get(waiter.account, 0.0), waiter.tag + 1 / waiter.weight
         )
         waiter.granted = True
         waiter.event.set()
@@ -172,12 +176,12 @@
         self.running -= 1
         self._grant_next()
         if not self.waiting and not self.running:
-            self.tags.clear()
-            self.virtual = 0.0
+            self.start_tags.clear()
+            self.virtual_time = 0.0
 
     def _grant_next(self) -> None:
         while self.waiting and self.running < self._usable_slots():
-            waiter = min(self.waiting, key=lambda other: other.order)
+            waiter = min(self.waiting, key=lambda other: other.sort_key)
             self.waiting.remove(waiter)
             self._grant(waiter)
 
--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -21,7 +21,7 @@
         self.backoff: Backoff | None = None
         self.extended = anyio.Event()
 
-    def note_answer(self, notice: AnswerNotice) -> None:
+    def note_response(self, notice: AnswerNotice) -> None:
         """Record what the head of a response says."""
         now = anyio.current_time()
         if notice.backoff > 0:
--- a/packages/agent/src/briarthread_agent/limits/waiter.py
+++ b/packages/agent/src/briarthread_agent/limits/waiter.py
@@ -20,6 +20,6 @@
     event: anyio.Event = field(default_factory=anyio.Event)
 
     @property
-    def order(self) -> tuple[int, float]:
+    def sort_key(self) -> tuple[int, float]:
         """Return what the queue sorts by: high priority first, then the tag."""
         return (-self.priority, self.tag)
--- a/packages/agent/src/briarthread_agent/reports/load_reporter.py
+++ b/packages/agent/src/briarthread_agent/reports/load_reporter.py
@@ -12,7 +12,7 @@
 
 MIN_INTERVAL = 0.05
 MAX_INTERVAL = 60.0
-NOTICEABLE = 0.1
+MIN_LOAD_CHANGE = 0.1
 """Part of the load by which it must change before a line is worth sending."""
 
 
@@ -34,7 +34,7 @@
         self.backoff = backoff
         self.number = 0
         self.draining = False
-        self.drained = anyio.Event()
+        self.drain_announced = anyio.Event()
         self.closed = anyio.Event()
 
     def report(self) -> LoadReport:
@@ -51,10 +51,10 @@
             b=round(self.backoff.seconds_left(), 3),
         )
 
-    def drain(self) -> None:
+    def announce_drain(self) -> None:
         """Say from now on that the agent leaves."""
         self.draining = True
-        self.drained.set()
+        self.drain_announced.set()
 
     def close(self) -> None:
         """End all streams, so that the server's stop need not wait for them."""
@@ -92,14 +92,14 @@
         extended = self.backoff.extended
         with anyio.move_on_after(every):
             async with anyio.create_task_group() as tasks:
-                for event in (self.drained, extended):
+                for event in (self.drain_announced, extended):
                     tasks.start_soon(_cancel_on, event, tasks.cancel_scope)
         return extended.is_set()
 
     def _changed(self, sent: LoadReport) -> bool:
         load = self.queue.running + len(self.queue.waiting)
         before = sent.r + sent.q
-        return abs(load - before) > NOTICEABLE * max(before, 1)
+        return abs(load - before) > MIN_LOAD_CHANGE * max(before, 1)
 
 
 async def _cancel_on(event: anyio.Event, scope: anyio.CancelScope) -> None:
--- a/packages/agent/src/briarthread_agent/holding/kept_answer.py
+++ b/packages/agent/src/briarthread_agent/shares/exported_record.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class ExportedRecord:
     """
     Describe one remembered key.
 
@@ -30,4 +30,4 @@
 
     service: str
     incarnation: str
-    answers: list[KeptAnswer]
+    answers: list[ExportedRecord]
--- a/packages/agent/src/briarthread_agent/holding/gap_watch.py
+++ b/packages/agent/src/briarthread_agent/shares/freeze_detector.py
@@ -4,12 +4,12 @@
 
 from briarthread_common.utils.clock import Clock
 
-TICK = 0.25
-GAP_BOUND = 1.5
+TICK_INTERVAL = 0.25
+FREEZE_THRESHOLD = 1.5
 """Seconds without a tick after which the process counts as frozen."""
 
 
-class GapWatch:
+class FreezeDetector:
     """
     Tell whether the process was frozen since its shares were last confirmed.
 
@@ -20,17 +20,17 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.last_tick = clock.now()
-        self.suspect = False
+        self.freeze_detected = False
 
     def check(self) -> bool:
         """Tell whether there is a gap that was not yet cleared."""
-        if self.clock.now() - self.last_tick > GAP_BOUND:
-            self.suspect = True
-        return self.suspect
+        if self.clock.now() - self.last_tick > FREEZE_THRESHOLD:
+            self.freeze_detected = True
+        return self.freeze_detected
 
     def clear(self) -> None:
         """Note that the shares were confirmed."""
-        self.suspect = False
+        self.freeze_detected = False
         self.last_tick = self.clock.now()
 
     async def run(self) -> None:
@@ -38,4 +38,4 @@
         while True:
             self.check()
             self.last_tick = self.clock.now()
-            await anyio.sleep(TICK)
+            await anyio.sleep(TICK_INTERVAL)
--- a/packages/agent/src/briarthread_agent/holding/hand_over.py
+++ b/packages/agent/src/briarthread_agent/shares/hand_over.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable, Iterator
 
-from briarthread_agent.attempts.ledger import Ledger
 from briarthread_agent.attempts.record import Record, RecordState
-from briarthread_agent.holding.kept_answer import KeptAnswer
+from briarthread_agent.attempts.record_store import RecordStore
+from briarthread_agent.shares.exported_record import ExportedRecord
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.messages.attempt import Attempt
@@ -12,18 +12,23 @@
 BATCH_BYTES = 4 * 1024 * 1024
 
 
-def export_shares(ledger: Ledger, shares: Iterable[int]) -> list[KeptAnswer]:
-    """Return what the ledger remembers of keys in the shares."""
+def export_shares(
+    record_store: RecordStore, shares: Iterable[int]
+) -> list[ExportedRecord]:
+    """Return what the record store remembers of keys in the shares."""
     wanted = set(shares)
     return [
         _export(record)
-        for record in ledger.records.values()
+        for record in record_store.records.values()
         if record.attempt.keyed and record.attempt.share in wanted
     ]
 
 
-def import_answers(
-    ledger: Ledger, service: str, answers: Iterable[KeptAnswer], limit: int
+def import_records(
+    record_store: RecordStore,
+    service: str,
+    answers: Iterable[ExportedRecord],
+    limit: int,
 ) -> None:
     """
     Remember the answers of another holder.
@@ -32,17 +37,17 @@
     it waits, and gets the answer when a second message brings it.
     """
     for kept in answers:
-        record = ledger.records.get(kept.key)
+        record = record_store.records.get(kept.key)
         if record is None:
             record = _new_record(service, kept, limit)
-            ledger.add(record)
-        if not record.answer.ended:
+            record_store.add(record)
+        if not record.response.ended:
             _fill(record, kept)
 
 
-def batches(answers: list[KeptAnswer]) -> Iterator[list[KeptAnswer]]:
+def split_into_batches(answers: list[ExportedRecord]) -> Iterator[list[ExportedRecord]]:
     """Yield the answers in groups of at most about BATCH_BYTES."""
-    group: list[KeptAnswer] = []
+    group: list[ExportedRecord] = []
     size = 0
     for kept in answers:
         group.append(kept)
@@ -53,9 +58,9 @@
     yield group
 
 
-def _export(record: Record) -> KeptAnswer:
-    answer = record.answer
-    return KeptAnswer(
+def _export(record: Record) -> ExportedRecord:
+    answer = record.response
+    return ExportedRecord(
         key=record.attempt.key,
         account=record.attempt.account,
         share=record.attempt.share,
@@ -69,7 +74,7 @@
     )
 
 
-def _new_record(service: str, kept: KeptAnswer, limit: int) -> Record:
+def _new_record(service: str, kept: ExportedRecord, limit: int) -> Record:
     attempt = Attempt(
         key=kept.key,
         id=f"imported/{kept.key}",
@@ -89,14 +94,14 @@
     return record
 
 
-def _fill(record: Record, kept: KeptAnswer) -> None:
+def _fill(record: Record, kept: ExportedRecord) -> None:
     if kept.finished:
-        record.answer.start(kept.status, tuple(kept.headers))
-        record.answer.add(kept.body)
-        record.answer.finish()
+        record.response.start(kept.status, tuple(kept.headers))
+        record.response.add(kept.body)
+        record.response.finish()
         record.state = RecordState.ENDED
     elif kept.failed:
-        record.answer.fail(
+        record.response.fail(
             RequestError(ErrorKind.OUTCOME_UNKNOWN, "the run gave no answer")
         )
         record.state = RecordState.ENDED
--- a/packages/agent/src/briarthread_agent/holding/holder_probe.py
+++ b/packages/agent/src/briarthread_agent/shares/holder_probe.py
@@ -22,7 +22,7 @@
     SILENT = "silent"
 
 
-async def ask_hello(channel: Channel, address: str) -> Hello:
+async def fetch_hello(channel: Channel, address: str) -> Hello:
     """Return who answers at an address; raise ChannelError if nobody does."""
     return await call_json(
         channel, address, "GET", HELLO_PATH, None, Hello, HELLO_TIMEOUT
@@ -32,7 +32,7 @@
 async def probe_holder(channel: Channel, address: str, incarnation: str) -> ProbeResult:
     """Find out whether an incarnation still lives at an address."""
     try:
-        hello = await ask_hello(channel, address)
+        hello = await fetch_hello(channel, address)
     except ConnectionRefused:
         return ProbeResult.REFUSED
     except ChannelError:
--- a/packages/agent/src/briarthread_agent/holding/share_guard.py
+++ b/packages/agent/src/briarthread_agent/shares/share_guard.py
@@ -1,6 +1,6 @@
 """The decision whether an attempt may start on this agent."""
 
-from briarthread_agent.holding.gap_watch import GapWatch
+from briarthread_agent.shares.freeze_detector import FreezeDetector
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.messages.attempt import Attempt
@@ -22,21 +22,21 @@
     def __init__(
         self,
         clock: Clock,
-        me: Instance,
+        instance: Instance,
         incarnation: str,
         shares: ShareView,
         text: TextView,
-        gap: GapWatch,
+        freeze_detector: FreezeDetector,
     ) -> None:
         self.clock = clock
-        self.me = me
+        self.instance = instance
         self.incarnation = incarnation
         self.shares = shares
         self.text = text
-        self.gap = gap
+        self.freeze_detector = freeze_detector
         self.draining = False
-        self.moving: set[int] = set()
-        self.inherited: dict[int, float] = {}
+        self.handing_over: set[int] = set()
+        self.inherited_quarantines: dict[int, float] = {}
 
     def check_start(self, attempt: Attempt) -> None:
         """Raise RequestError when the attempt must not start here now."""
@@ -46,30 +46,30 @@
             raise RequestError(ErrorKind.DEADLINE_PASSED, "deadline has passed")
         if attempt.idempotent:
             return
-        if self.gap.check():
+        if self.freeze_detector.check():
             raise RequestError(ErrorKind.NOT_READY, "agent stood still a while ago")
         if attempt.keyed:
             self._check_share(attempt)
 
     def row(self, share: int) -> ShareRow | None:
         """Return the newest known row of a share of this agent's service."""
-        return self.shares.get(self.me.service, self.me.data_centre, share)
+        return self.shares.get(self.instance.service, self.instance.data_centre, share)
 
     def holds(self, row: ShareRow | None) -> bool:
         """Tell whether a row names this very process, or one it replaced."""
-        return row is not None and row.address == self.me.address
+        return row is not None and row.address == self.instance.address
 
-    def held(self) -> list[ShareRow]:
+    def held_rows(self) -> list[ShareRow]:
         """Return the rows of the shares that this process holds."""
-        service = self.text.current().services.get(self.me.service)
+        service = self.text.current().services.get(self.instance.service)
         if service is None:
             return []
         rows = [self.row(share) for share in range(service.shares)]
         return [row for row in rows if row is not None and self.holds(row)]
 
-    def quarantine_end(self) -> float:
+    def new_quarantine_end(self) -> float:
         """Return when a share taken now without its memory is safe to serve."""
-        service = self.text.current().services[self.me.service]
+        service = self.text.current().services[self.instance.service]
         return self.clock.now() + service.retry_horizon + service.max_deadline
 
     def quarantine_of(self, row: ShareRow) -> float:
@@ -81,11 +81,13 @@
         """
         if row.incarnation == self.incarnation:
             return row.quarantine
-        return self.inherited.setdefault(row.share, self.quarantine_end())
+        return self.inherited_quarantines.setdefault(
+            row.share, self.new_quarantine_end()
+        )
 
     def _check_share(self, attempt: Attempt) -> None:
         row = self.row(attempt.share)
-        if row is None or not self.holds(row) or attempt.share in self.moving:
+        if row is None or not self.holds(row) or attempt.share in self.handing_over:
             raise RequestError(ErrorKind.NOT_HOLDER, "share is held elsewhere")
         if attempt.share_version > row.version:
             raise RequestError(ErrorKind.NOT_HOLDER, "share has moved meanwhile")
--- a/packages/agent/src/briarthread_agent/holding/share_keeper.py
+++ b/packages/agent/src/briarthread_agent/shares/share_manager.py
@@ -6,16 +6,16 @@
 import anyio
 from loguru import logger
 
-from briarthread_agent.attempts.ledger import Ledger
-from briarthread_agent.holding.hand_over import batches, export_shares
-from briarthread_agent.holding.holder_probe import (
+from briarthread_agent.attempts.record_store import RecordStore
+from briarthread_agent.shares.exported_record import HandOver
+from briarthread_agent.shares.hand_over import export_shares, split_into_batches
+from briarthread_agent.shares.holder_probe import (
     ProbeResult,
-    ask_hello,
+    fetch_hello,
     probe_holder,
 )
-from briarthread_agent.holding.kept_answer import HandOver
-from briarthread_agent.holding.share_guard import ShareGuard
-from briarthread_agent.holding.share_writer import ShareWriter
+from briarthread_agent.shares.share_guard import ShareGuard
+from briarthread_agent.shares.share_writer import ShareWriter
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import (
     ChannelError,
@@ -32,14 +32,14 @@
 from briarthread_common.spread.spreader import Spreader
 from briarthread_common.utils.hashing import rendezvous_order
 
-MEMORY_PATH = "/agent/v1/shares/memory"
-KEEP_INTERVAL = 2.0
+HAND_OVER_PATH = "/agent/v1/shares/memory"
+RECONCILE_INTERVAL = 2.0
 HAND_OVER_TIMEOUT = 3.0
-DEATH_GRACE = 8.0
+TAKEOVER_DELAY = 8.0
 """Seconds for which an address must refuse before its shares are taken."""
 
 
-class ShareKeeper:
+class ShareManager:
     """
     Keep every share of this agent's service in its data centre held.
 
@@ -53,39 +53,39 @@
     def __init__(
         self,
         guard: ShareGuard,
-        ledger: Ledger,
+        record_store: RecordStore,
         feeds: FeedSet,
         directory: Directory,
         platform: PlatformClient,
-        spreader: Spreader,
+        replicator: Spreader,
         channel: Channel,
         events: EventLog,
         rng: random.Random,
     ) -> None:
         self.guard = guard
-        self.me = guard.me
-        self.ledger = ledger
+        self.instance = guard.instance
+        self.record_store = record_store
         self.directory = directory
-        self.spreader = spreader
+        self.replicator = replicator
         self.channel = channel
         self.events = events
         self.rng = rng
-        self.writer = ShareWriter(feeds.shares, platform, spreader)
+        self.writer = ShareWriter(feeds.shares, platform, replicator)
         self.refused_since: dict[str, float] = {}
 
     async def run(self) -> None:
         """Look after the shares until cancelled."""
-        await self.spreader.started.wait()
+        await self.replicator.started.wait()
         while True:
             try:
-                await self.keep_once()
+                await self.reconcile()
             except (ConflictError, PlatformError, ChannelError) as error:
                 logger.debug("shares: {}", error)
-            await anyio.sleep(KEEP_INTERVAL * self.rng.uniform(0.5, 1.5))
+            await anyio.sleep(RECONCILE_INTERVAL * self.rng.uniform(0.5, 1.5))
 
-    async def keep_once(self) -> None:
+    async def reconcile(self) -> None:
         """Confirm after a freeze, then claim what this agent should hold."""
-        if self.guard.gap.check():
+        if self.guard.freeze_detector.check():
             await self._confirm()
         if self.guard.draining:
             return
@@ -96,8 +96,8 @@
     async def hand_over_all(self) -> None:
         """Give every held share to its next holder, memory first."""
         by_successor: dict[str, list[ShareRow]] = {}
-        for row in self.guard.held():
-            successor = self._next_holder(row.share, {self.me.name})
+        for row in self.guard.held_rows():
+            successor = self._next_holder(row.share, {self.instance.name})
             if successor is not None:
                 by_successor.setdefault(successor.name, []).append(row)
         for name, rows in by_successor.items():
@@ -112,18 +112,18 @@
         reached the row stays and the shares go to quarantine later.
         """
         shares = [row.share for row in rows]
-        self.guard.moving.update(shares)
+        self.guard.handing_over.update(shares)
         try:
-            hello = await ask_hello(self.channel, successor.address)
+            hello = await fetch_hello(self.channel, successor.address)
             await self._send_memory(shares, successor)
             given = [self._given_to(row, successor, hello.incarnation) for row in rows]
             await self.writer.write(given)
-            await self.spreader.exchange_with(successor.address)
+            await self.replicator.exchange_with(successor.address)
             self.events.add("handed-over", successor.name, f"shares {shares}")
         except (ConflictError, PlatformError, ChannelError) as error:
             self.events.add("hand-over-failed", successor.name, str(error))
 
-    async def send_late_answers(self) -> None:
+    async def send_late_records(self) -> None:
         """Send the answers that were not there yet at the hand-over."""
         for row in self._given_rows():
             successor = self.directory.all().get(row.holder)
@@ -131,25 +131,25 @@
                 await self._send_memory([row.share], successor)
 
     def _given_rows(self) -> list[ShareRow]:
-        rows = [self.guard.row(share) for share in self.guard.moving]
-        return [r for r in rows if r is not None and r.address != self.me.address]
+        rows = [self.guard.row(share) for share in self.guard.handing_over]
+        return [r for r in rows if r is not None and r.address != self.instance.address]
 
     async def _send_memory(self, shares: list[int], successor: Instance) -> None:
-        for group in batches(export_shares(self.ledger, shares)):
-            message = HandOver(self.me.service, self.guard.incarnation, group)
+        for group in split_into_batches(export_shares(self.record_store, shares)):
+            message = HandOver(self.instance.service, self.guard.incarnation, group)
             await call_json(
                 self.channel,
                 successor.address,
                 "POST",
-                MEMORY_PATH,
+                HAND_OVER_PATH,
                 message,
                 bool,
                 HAND_OVER_TIMEOUT,
             )
 
     async def _claims(self) -> list[ShareRow]:
-        service = self.guard.text.current().services.get(self.me.service)
-        if service is None or self.me.data_centre not in service.data_centres:
+        service = self.guard.text.current().services.get(self.instance.service)
+        if service is None or self.instance.data_centre not in service.data_centres:
             return []
         claims: list[ShareRow] = []
         for share in range(service.shares):
@@ -157,11 +157,11 @@
             if row is None:
                 if self._is_next(share, set()):
                     claims.append(self._row(share, quarantine=0.0))
-            elif row.address == self.me.address:
+            elif row.address == self.instance.address:
                 claims.extend(self._inherit(row))
             elif await self._may_take(row):
                 self.events.add("took-over", f"share/{share}", f"{row.holder} is dead")
-                claims.append(self._row(share, self.guard.quarantine_end()))
+                claims.append(self._row(share, self.guard.new_quarantine_end()))
         return claims
 
     def _inherit(self, row: ShareRow) -> list[ShareRow]:
@@ -183,32 +183,36 @@
             case ProbeResult.REFUSED:
                 now = self.guard.clock.now()
                 first = self.refused_since.setdefault(row.address, now)
-                return not listed or now - first >= DEATH_GRACE
+                return not listed or now - first >= TAKEOVER_DELAY
             case ProbeResult.SILENT:
                 return not listed
 
     async def _confirm(self) -> None:
         """Read the rows anew after a freeze, from the platform or a peer."""
         try:
-            await self.spreader.poll_platform()
+            await self.replicator.poll_platform()
         except PlatformError:
             await self._confirm_with_peer()
-        self.events.add("confirmed", self.me.name, "shares read anew after a freeze")
-        self.guard.gap.clear()
+        self.events.add(
+            "confirmed", self.instance.name, "shares read anew after a freeze"
+        )
+        self.guard.freeze_detector.clear()
 
     async def _confirm_with_peer(self) -> None:
-        peers = [row for row in self.spreader.peers() if row.name != self.me.name]
+        peers = [
+            row for row in self.replicator.peers() if row.name != self.instance.name
+        ]
         if not peers:
             raise PlatformError("no peer to confirm the shares with")
-        await self.spreader.exchange_with(self.rng.choice(peers).address)
+        await self.replicator.exchange_with(self.rng.choice(peers).address)
 
     def _row(self, share: int, quarantine: float) -> ShareRow:
         return ShareRow(
-            service=self.me.service,
-            data_centre=self.me.data_centre,
+            service=self.instance.service,
+            data_centre=self.instance.data_centre,
             share=share,
-            holder=self.me.name,
-            address=self.me.address,
+            holder=self.instance.name,
+            address=self.instance.address,
             incarnation=self.guard.incarnation,
             version=0,
             quarantine=quarantine,
@@ -227,11 +231,11 @@
 
     def _is_next(self, share: int, without: set[str]) -> bool:
         successor = self._next_holder(share, without)
-        return successor is not None and successor.name == self.me.name
+        return successor is not None and successor.name == self.instance.name
 
     def _next_holder(self, share: int, without: set[str]) -> Instance | None:
-        rows = self.directory.targets(self.me.service, self.me.data_centre)
+        rows = self.directory.targets(self.instance.service, self.instance.data_centre)
         by_name = {row.name: row for row in rows if row.name not in without}
-        key = share_name(self.me.service, self.me.data_centre, share)
+        key = share_name(self.instance.service, self.instance.data_centre, share)
         order = rendezvous_order(key, by_name)
         return by_name[order[0]] if order else None
--- a/packages/agent/src/briarthread_agent/holding/share_writer.py
+++ b/packages/agent/src/briarthread_agent/shares/share_writer.py
@@ -17,10 +17,10 @@
     """Write rows after the version that this process knows, or not at all."""
 
     def __init__(
-        self, feed: Feed, platform: PlatformClient, spreader: Spreader
+        self, feed: Feed, platform: PlatformClient, replicator: Spreader
     ) -> None:
         self.feed = feed
-        self.spreader = spreader
+        self.replicator = replicator
         self.store = FeedStore(platform, FeedName.SHARES)
 
     async def write(self, rows: list[ShareRow]) -> None:
@@ -46,6 +46,6 @@
 
     async def _settle(self, changes: dict[str, str | None]) -> None:
         """Read back what a write without answer did; raise if nothing."""
-        await self.spreader.poll_platform()
+        await self.replicator.poll_platform()
         if any(self.feed.items.get(name) != raw for name, raw in changes.items()):
             raise ConflictError("shares were changed by another")
--- a/packages/entry/src/briarthread_entry/entry.py
+++ b/packages/entry/src/briarthread_entry/entry.py
@@ -21,9 +21,9 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.limits.account_limiter import AccountLimiter
 from briarthread_entry.maps.group_planner import GroupPlanner
+from briarthread_entry.routing.load_watcher import LoadWatcher
 from briarthread_entry.routing.router import Router
 from briarthread_entry.routing.target_table import TargetTable
-from briarthread_entry.routing.watcher import Watcher
 from briarthread_entry.serving.attempt_sender import AttemptSender
 from briarthread_entry.serving.read_request import SERVICES_PREFIX
 from briarthread_entry.serving.request_handler import RequestHandler
@@ -60,7 +60,7 @@
             rng,
         )
         self.table = TargetTable(settings.name, settings.data_centre, self.directory)
-        self.watcher = Watcher(
+        self.watcher = LoadWatcher(
             self.table, self.text, channel, self.spreader, clock, self.events, rng
         )
         self.planner = GroupPlanner(
--- a/packages/entry/src/briarthread_entry/limits/account_limiter.py
+++ b/packages/entry/src/briarthread_entry/limits/account_limiter.py
@@ -6,7 +6,7 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.limits.token_bucket import TokenBucket
 
-MAX_IDLE_ACCOUNTS = 4096
+MAX_BUCKETS = 4096
 MIN_CONCURRENCY = 2
 
 
@@ -23,9 +23,9 @@
         self.buckets: dict[str, TokenBucket] = {}
         self.running: dict[str, int] = {}
 
-    def enter(self, account: Account, entries: int) -> None:
+    def acquire(self, account: Account, entries: int) -> None:
         """
-        Count a request of the account until ``leave`` is called.
+        Count a request of the account until ``release`` is called.
 
         Raise RequestError at once when the account's part is used up.
         """
@@ -34,7 +34,7 @@
         self._check_rate(account, entries)
         self.running[account.name] = self.running.get(account.name, 0) + 1
 
-    def leave(self, account: Account) -> None:
+    def release(self, account: Account) -> None:
         """Note that a request of the account has ended."""
         self.running[account.name] -= 1
         if not self.running[account.name]:
@@ -63,6 +63,6 @@
             )
 
     def _drop_idle(self) -> None:
-        if len(self.buckets) >= MAX_IDLE_ACCOUNTS:
+        if len(self.buckets) >= MAX_BUCKETS:
             oldest = min(self.buckets, key=lambda name: self.buckets[name].updated)
             del self.buckets[oldest]
--- a/packages/entry/src/briarthread_entry/maps/coordinator.py
+++ b/packages/entry/src/briarthread_entry/maps/coordinator.py
@@ -27,21 +27,21 @@
 T = TypeVar("T")
 CALL_TIMEOUT = 2.0
 STAGE_TIMEOUT = 120.0
-STEP_LEAD = 100
+ACTIVATION_LEAD_STEPS = 100
 """Steps between the slowest rank and the one from which a map holds."""
-CONFIRM_TRIES = 5
-RETRY_SECONDS = 0.1
+CONFIRM_ATTEMPTS = 5
+CONFIRM_RETRY_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class Activated:
     """The map holds from this step on."""
 
     step: int
 
 
 @dataclass(frozen=True, slots=True)
-class NotPlaced:
+class NotActivated:
     """The group stays on its map; ``reason`` says why."""
 
     reason: str
@@ -60,31 +60,31 @@
         self.directory = directory
         self.events = events
 
-    async def place(
+    async def activate(
         self, group: Group, expert_map: ExpertMap, fence: int
-    ) -> Placed | NotPlaced:
+    ) -> Activated | NotActivated:
         """Bring a map in force under a planner's fencing number."""
-        result = await self._place(group, expert_map, fence)
+        result = await self._activate(group, expert_map, fence)
         subject = f"{group.name}/map/{expert_map.version}"
         match result:
-            case Placed(step=step):
+            case Activated(step=step):
                 self.events.add("map-moved", subject, f"from step {step}")
-            case NotPlaced(reason=reason):
+            case NotActivated(reason=reason):
                 self.events.add("map-not-moved", subject, reason)
         return result
 
-    async def standings(self, group: Group) -> dict[str, Standing]:
+    async def fetch_standings(self, group: Group) -> dict[str, Standing]:
         """Return the standing of each agent that answers, by name."""
         return await self._call_all(group, STANDING_PATH, lambda name: None, Standing)
 
-    async def _place(
+    async def _activate(
         self, group: Group, expert_map: ExpertMap, fence: int
-    ) -> Placed | NotPlaced:
-        standings = await self.standings(group)
+    ) -> Activated | NotActivated:
+        standings = await self.fetch_standings(group)
         if len(standings) < len(group.targets):
-            return NotPlaced("an agent is silent")
+            return NotActivated("an agent is silent")
         if any(row.version == NO_MAP or row.pending for row in standings.values()):
-            return NotPlaced("a rank has no map yet or holds for another")
+            return NotActivated("a rank has no map yet or holds for another")
         staged = await self._call_all(
             group,
             STAGE_PATH,
@@ -94,8 +94,8 @@
         )
         refusal = _refusal(group, staged)
         if refusal:
-            return NotPlaced(f"not staged: {refusal}")
-        step = max(answer.step for answer in staged.values()) + STEP_LEAD
+            return NotActivated(f"not staged: {refusal}")
+        step = max(answer.step for answer in staged.values()) + ACTIVATION_LEAD_STEPS
         announced = await self._call_all(
             group,
             ANNOUNCE_PATH,
@@ -110,7 +110,7 @@
         )
         refusal = _refusal(group, announced)
         if refusal:
-            return NotPlaced(f"not announced: {refusal}")
+            return NotActivated(f"not announced: {refusal}")
         return await self._confirm(group, standings, expert_map.version, fence, step)
 
     async def _confirm(
@@ -120,8 +120,8 @@
         version: int,
         fence: int,
         step: int,
-    ) -> Placed | NotPlaced:
-        for _ in range(CONFIRM_TRIES):
+    ) -> Activated | NotActivated:
+        for _ in range(CONFIRM_ATTEMPTS):
             answers = await self._call_all(
                 group,
                 CONFIRM_PATH,
@@ -131,9 +131,9 @@
                 MapAnswer,
             )
             if any(answer.accepted for answer in answers.values()):
-                return Placed(step)
-            await anyio.sleep(RETRY_SECONDS)
-        return NotPlaced("no agent took the confirmation")
+                return Activated(step)
+            await anyio.sleep(CONFIRM_RETRY_SECONDS)
+        return NotActivated("no agent took the confirmation")
 
     async def _call_all(
         self,
--- a/packages/entry/src/briarthread_entry/maps/group_planner.py
+++ b/packages/entry/src/briarthread_entry/maps/group_planner.py
@@ -26,18 +26,18 @@
 PLAN_INTERVAL = 300.0
 REPORT_TIMEOUT = 5.0
 LEASE_SECONDS = 180.0
-STORE_BYTES = 500e6
+WEIGHT_STORE_BYTES_PER_SECOND = 500e6
 """Bytes a second that a group gets of the rate-limited weight store."""
-VERSIONS_A_FENCE = 1 << 20
+VERSIONS_PER_FENCE = 1 << 20
 """Maps proposed under different fencing numbers never share a version."""
 
 
 @dataclass(slots=True)
-class GroupWatch:
+class GroupObservation:
     """Hold what the planner remembers of a group between two looks."""
 
     popularity: Popularity
-    last: list[list[int]]
+    last_counts: list[list[int]]
 
 
 class GroupPlanner:
@@ -71,7 +71,7 @@
         self.events = events
         self.rng = rng
         self.coordinator = Coordinator(channel, directory, events)
-        self.watches: dict[str, GroupWatch] = {}
+        self.observations: dict[str, GroupObservation] = {}
         self.proposals = 0
 
     async def run(self) -> None:
@@ -79,36 +79,36 @@
         while True:
             await anyio.sleep(PLAN_INTERVAL * self.rng.uniform(0.8, 1.2))
             for group in list(self.text.current().groups.values()):
-                if self._is_mine(group):
-                    await self._plan_quietly(group)
+                if self._is_responsible(group):
+                    await self._plan_logging_errors(group)
 
     async def plan(self, group: Group) -> None:
         """Look at a group, decide, and place a better map if it pays."""
-        report = await self._report(group)
+        report = await self._fetch_report(group)
         if report is None or not self._observe(group, report):
             return
         decision = decide_move(
             0,
             report.expert_map,
-            self.watches[group.name].popularity.counts,
+            self.observations[group.name].popularity.counts,
             group.slots,
-            group.expert_bytes / STORE_BYTES,
+            group.expert_bytes / WEIGHT_STORE_BYTES_PER_SECOND,
             self.text.current().objective,
         )
         match decision:
             case Stay(reason=reason):
                 self.events.add("map-stays", group.name, reason)
             case Move():
-                await self._place(group, decision)
+                await self._activate(group, decision)
 
-    async def _place(self, group: Group, move: Move) -> None:
+    async def _activate(self, group: Group, move: Move) -> None:
         lease = Lease(self.platform, self.clock, f"groups/{group.name}", LEASE_SECONDS)
         match await lease.take(self.name):
             case HeldByOther(holder=holder):
                 self.events.add("map-stays", group.name, f"{holder} plans it")
             case Held(fence=fence):
                 self.proposals += 1
-                version = fence * VERSIONS_A_FENCE + self.proposals
+                version = fence * VERSIONS_PER_FENCE + self.proposals
                 self.events.add(
                     "map-move",
                     group.name,
@@ -116,15 +116,15 @@
                     f"costs {move.cost:.0f} s of loading",
                 )
                 wanted = ExpertMap(version, move.expert_map.layers)
-                await self.coordinator.place(group, wanted, fence)
+                await self.coordinator.activate(group, wanted, fence)
 
-    async def _plan_quietly(self, group: Group) -> None:
+    async def _plan_logging_errors(self, group: Group) -> None:
         try:
             await self.plan(group)
         except (ChannelError, PlatformError) as error:
             logger.debug("maps: {}: {}", group.name, error)
 
-    async def _report(self, group: Group) -> MapReport | None:
+    async def _fetch_report(self, group: Group) -> MapReport | None:
         rows = self.directory.all()
         known = [rows[name].address for name in group.targets if name in rows]
         if not known:
@@ -141,21 +141,21 @@
 
     def _observe(self, group: Group, report: MapReport) -> bool:
         """Take the tokens since the last look in; tell whether there were any."""
-        watch = self.watches.get(group.name)
+        watch = self.observations.get(group.name)
         if watch is None:
             popularity = Popularity(group.layers, group.experts)
             popularity.updated = self.clock.now()
-            self.watches[group.name] = GroupWatch(popularity, report.counts)
+            self.observations[group.name] = GroupObservation(popularity, report.counts)
             return False
         fresh = [
             [max(new - old, 0) for new, old in zip(news, olds, strict=True)]
-            for news, olds in zip(report.counts, watch.last, strict=True)
+            for news, olds in zip(report.counts, watch.last_counts, strict=True)
         ]
-        watch.last = report.counts
+        watch.last_counts = report.counts
         watch.popularity.add(self.clock.now(), fresh)
         return any(map(any, fresh))
 
-    def _is_mine(self, group: Group) -> bool:
+    def _is_responsible(self, group: Group) -> bool:
         if group.data_centre != self.data_centre:
             return False
         names = [row.name for row in self.directory.entries(self.data_centre)]
--- a/packages/entry/src/briarthread_entry/retries/retry_budget.py
+++ b/packages/entry/src/briarthread_entry/retries/retry_budget.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-RATIO = 0.2
+RETRIES_PER_SUCCESS = 0.2
 """Retries allowed for each success."""
-RESERVE = 10.0
-REFILL = 0.5
+MAX_TOKENS = 10.0
+REFILL_PER_SECOND = 0.5
 """Retries allowed a second while nothing succeeds."""
 
 
@@ -26,17 +26,19 @@
     True
     """
 
-    tokens: float = RESERVE
+    tokens: float = MAX_TOKENS
     updated: float = 0.0
 
     def note_success(self) -> None:
         """Earn a part of a retry."""
-        self.tokens = min(RESERVE, self.tokens + RATIO)
+        self.tokens = min(MAX_TOKENS, self.tokens + RETRIES_PER_SUCCESS)
 
     def spend(self, now: float) -> bool:
         """Take one retry out; tell whether there was one."""
         if self.updated:
-            self.tokens = min(RESERVE, self.tokens + (now - self.updated) * REFILL)
+            self.tokens = min(
+                MAX_TOKENS, self.tokens + (now - self.updated) * REFILL_PER_SECOND
+            )
         self.updated = now
         if self.tokens < 1.0:
             return False
--- a/packages/entry/src/briarthread_entry/retries/retry_rules.py
+++ b/packages/entry/src/briarthread_entry/retries/retry_policy.py
@@ -13,7 +13,7 @@
 )
 """Refusals because instances come and go; they do not spend the budget."""
 
-LOAD_KINDS = frozenset(
+BUDGETED_KINDS = frozenset(
     {
         ErrorKind.NO_TARGET,
         ErrorKind.NOT_READY,
@@ -28,7 +28,7 @@
 )
 """Failures that more attempts could make worse; each spends the budget."""
 
-BLAMED_KINDS = frozenset(
+EJECTION_KINDS = frozenset(
     {ErrorKind.NO_TARGET, ErrorKind.TARGET_FAILED, ErrorKind.OUTCOME_UNKNOWN}
 )
 """
@@ -39,7 +39,7 @@
 capacity just when it is short.
 """
 
-PROVED_BY_HOLDER = frozenset(
+HOLDER_CHECKED_KINDS = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.TARGETS_BACKING_OFF,
@@ -56,11 +56,11 @@
 
 MAX_ATTEMPTS = 3
 MAX_HOLDER_ATTEMPTS = 10
-FIRST_PAUSE = 0.02
-MAX_PAUSE = 0.5
+BASE_DELAY = 0.02
+MAX_DELAY = 0.5
 
 
-def pause_before(attempt: int, rng: random.Random) -> float:
+def retry_delay(attempt: int, rng: random.Random) -> float:
     """Return the seconds to wait before an attempt, doubling, with jitter."""
-    bound = min(MAX_PAUSE, FIRST_PAUSE * 2**attempt)
+    bound = min(MAX_DELAY, BASE_DELAY * 2**attempt)
     return bound * rng.uniform(0.5, 1.0)
--- a/packages/entry/src/briarthread_entry/routing/choose_target.py
+++ b/packages/entry/src/briarthread_entry/routing/choose_target.py
@@ -5,7 +5,7 @@
 
 from briarthread_entry.routing.target_state import TargetState
 
-CHOICES = 2
+CANDIDATES = 2
 Choose = Callable[[Sequence[TargetState], float, random.Random], TargetState | None]
 
 
@@ -21,5 +21,5 @@
     usable = [state for state in states if state.usable(now)]
     if not usable:
         return None
-    drawn = rng.sample(usable, min(CHOICES, len(usable)))
+    drawn = rng.sample(usable, min(CANDIDATES, len(usable)))
     return min(drawn, key=lambda state: (state.cost(now), state.instance.name))
--- a/packages/entry/src/briarthread_entry/routing/watcher.py
+++ b/packages/entry/src/briarthread_entry/routing/load_watcher.py
@@ -17,12 +17,12 @@
 from briarthread_entry.routing.target_state import TargetState
 from briarthread_entry.routing.target_table import TargetTable
 
-LINE_BYTES = 150
+REPORT_BYTES = 150
 """Bytes of one report on the wire, headers of TCP and IP included."""
-BUDGET = 1000
+REPORT_BYTES_PER_SECOND = 1000
 """Bytes a second that an entry spends on reports, of the 3 KB for control."""
 MIN_INTERVAL = 0.25
-MISSED_HEARTBEATS = 2.5
+MAX_MISSED_HEARTBEATS = 2.5
 """Heartbeats without a line after which a target counts as down."""
 RETRY_SECONDS = 1.0
 REFRESH_SECONDS = 1.0
@@ -37,10 +37,10 @@
     >>> report_interval(62)
     9.3
     """
-    return max(MIN_INTERVAL, watched * LINE_BYTES / BUDGET)
+    return max(MIN_INTERVAL, watched * REPORT_BYTES / REPORT_BYTES_PER_SECOND)
 
 
-class Watcher:
+class LoadWatcher:
     """Hold a stream of load reports to each watched target."""
 
     def __init__(
@@ -48,7 +48,7 @@
         table: TargetTable,
         text: TextView,
         channel: Channel,
-        spreader: Spreader,
+        replicator: Spreader,
         clock: Clock,
         events: EventLog,
         rng: random.Random,
@@ -56,7 +56,7 @@
         self.table = table
         self.text = text
         self.channel = channel
-        self.spreader = spreader
+        self.replicator = replicator
         self.clock = clock
         self.events = events
         self.rng = rng
@@ -64,7 +64,7 @@
 
     async def run(self) -> None:
         """Watch the targets of the table until cancelled."""
-        await self.spreader.started.wait()
+        await self.replicator.started.wait()
         async with anyio.create_task_group() as tasks:
             while True:
                 self.refresh(tasks)
@@ -99,7 +99,7 @@
 
     async def _follow(self, state: TargetState) -> None:
         every = report_interval(len(self.table.states))
-        silence = MISSED_HEARTBEATS * heartbeat_interval(every)
+        silence = MAX_MISSED_HEARTBEATS * heartbeat_interval(every)
         request = ChannelRequest(
             "GET", state.instance.address, f"/agent/v1/load?every={every:.2f}"
         )
@@ -124,7 +124,7 @@
         elif report.d and state.report is not None and not state.report.d:
             self.events.add("target-leaving", state.instance.name, "it said so")
         state.connected = True
-        state.take_report(report, self.clock.now())
+        state.apply_report(report, self.clock.now())
 
     def _note_down(self, state: TargetState, reason: str) -> None:
         if state.connected:
--- a/packages/entry/src/briarthread_entry/routing/router.py
+++ b/packages/entry/src/briarthread_entry/routing/router.py
@@ -62,7 +62,7 @@
             return await self._pick_holder(request, text)
         local = [
             state
-            for state in self.table.of_service(request.service.name)
+            for state in self.table.by_service(request.service.name)
             if state.instance.name not in tried
         ]
         chosen = self.choose(local, self.clock.now(), self.rng)
@@ -75,7 +75,7 @@
     def has_target(self, service: Service) -> bool:
         """Tell whether some target of a service can take a request."""
         now = self.clock.now()
-        if any(state.usable(now) for state in self.table.of_service(service.name)):
+        if any(state.usable(now) for state in self.table.by_service(service.name)):
             return True
         return bool(self._remote(service, set()))
 
@@ -101,7 +101,7 @@
         now = self.clock.now()
         backoffs = [
             state.backoff_until - now
-            for state in self.table.of_service(service.name)
+            for state in self.table.by_service(service.name)
             if state.backoff_until > now
         ]
         if backoffs:
--- a/packages/entry/src/briarthread_entry/routing/target_state.py
+++ b/packages/entry/src/briarthread_entry/routing/target_state.py
@@ -5,12 +5,12 @@
 from briarthread_common.messages.instance import Instance
 from briarthread_common.messages.load_report import LoadReport
 
-EJECT_AFTER = 3
+EJECTION_FAILURES = 3
 """Failures in a row after which a target is left out for a while."""
-EJECT_SECONDS = 5.0
-MAX_EJECT_SECONDS = 60.0
+BASE_EJECTION_SECONDS = 5.0
+MAX_EJECTION_SECONDS = 60.0
 SLOW_START_SECONDS = 5.0
-FIRST_SERVICE_MS = 20.0
+INITIAL_SERVICE_MS = 20.0
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +25,7 @@
     instance: Instance
     incarnation: str = ""
     report: LoadReport | None = None
-    sent_since: int = 0
+    sent_since_report: int = 0
     connected: bool = False
     up_since: float = 0.0
     failures: int = 0
@@ -33,7 +33,7 @@
     ejected_until: float = 0.0
     backoff_until: float = 0.0
 
-    def take_report(self, report: LoadReport, now: float) -> bool:
+    def apply_report(self, report: LoadReport, now: float) -> bool:
         """Take a report unless a newer one is known; tell if it was taken."""
         if report.i != self.incarnation:
             self.incarnation = report.i
@@ -44,7 +44,7 @@
             return False
         self.report = report
         self.backoff_until = now + report.b
-        self.sent_since = 0
+        self.sent_since_report = 0
         return True
 
     def note_success(self) -> None:
@@ -55,11 +55,13 @@
     def note_failure(self, now: float) -> bool:
         """Count a failure; tell whether it ejects the target."""
         self.failures += 1
-        if self.failures < EJECT_AFTER:
+        if self.failures < EJECTION_FAILURES:
             return False
         self.failures = 0
         self.ejections += 1
-        pause = min(EJECT_SECONDS * 2 ** (self.ejections - 1), MAX_EJECT_SECONDS)
+        pause = min(
+            BASE_EJECTION_SECONDS * 2 ** (self.ejections - 1), MAX_EJECTION_SECONDS
+        )
         self.ejected_until = now + pause
         return True
 
@@ -84,8 +86,8 @@
         report = self.report
         if report is None:
             return float("inf")
-        service_ms = report.m or FIRST_SERVICE_MS
-        ahead = report.r + report.q + self.sent_since
+        service_ms = report.m or INITIAL_SERVICE_MS
+        ahead = report.r + report.q + self.sent_since_report
         expected = service_ms * (1 + ahead / max(report.s, 1))
         age = now - self.up_since
         if age < SLOW_START_SECONDS:
--- a/packages/entry/src/briarthread_entry/routing/target_table.py
+++ b/packages/entry/src/briarthread_entry/routing/target_table.py
@@ -36,7 +36,7 @@
             if known is None or known.instance != instance:
                 self.states[name] = TargetState(instance)
 
-    def of_service(self, service: str) -> list[TargetState]:
+    def by_service(self, service: str) -> list[TargetState]:
         """Return the watched targets of a service."""
         return [
             state for state in self.states.values() if state.instance.service == service
--- a/packages/entry/src/briarthread_entry/serving/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_sender.py
@@ -217,7 +217,7 @@
             report = msgspec.json.decode(raw, type=LoadReport)
         except msgspec.MsgspecError:
             return
-        target.take_report(report, self.clock.now())
+        target.apply_report(report, self.clock.now())
 
     def _left(self, attempt: Attempt) -> float:
         return max(attempt.deadline + ANSWER_MARGIN - self.clock.now(), 0.0)
--- a/packages/entry/src/briarthread_entry/serving/request_handler.py
+++ b/packages/entry/src/briarthread_entry/serving/request_handler.py
@@ -97,14 +97,14 @@
         try:
             await self.runner.run(request, text, call)
         finally:
-            self.limiter.leave(request.account)
+            self.limiter.release(request.account)
 
     def _admit(self, request: CallerRequest, text: ServicesText) -> None:
         if self.in_flight > self.max_in_flight:
             raise RequestError(ErrorKind.OVERLOADED, "entry is full")
         check_dependencies(request.service, text, self.router)
         entries = len(self.directory.entries(self.data_centre))
-        self.limiter.enter(request.account, entries)
+        self.limiter.acquire(request.account, entries)
 
     async def _answer_error(
         self, request: CallerRequest, call: Call, error: RequestError
--- a/packages/entry/src/briarthread_entry/serving/request_runner.py
+++ b/packages/entry/src/briarthread_entry/serving/request_runner.py
@@ -15,14 +15,14 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_common.utils.hashing import random_id
 from briarthread_entry.retries.retry_budget import RetryBudget
-from briarthread_entry.retries.retry_rules import (
-    BLAMED_KINDS,
-    LOAD_KINDS,
+from briarthread_entry.retries.retry_policy import (
+    BUDGETED_KINDS,
+    EJECTION_KINDS,
+    HOLDER_CHECKED_KINDS,
     MAX_ATTEMPTS,
     MAX_HOLDER_ATTEMPTS,
     MEMBERSHIP_KINDS,
-    PROVED_BY_HOLDER,
-    pause_before,
+    retry_delay,
 )
 from briarthread_entry.routing.router import Pick, Router
 from briarthread_entry.routing.target_state import TargetState
@@ -78,7 +78,7 @@
             failures.append(outcome)
             self._note(request, pick.target, outcome)
             self._check_retry(request, failures, last=number + 1 == limit)
-            await anyio.sleep(pause_before(number, self.rng))
+            await anyio.sleep(retry_delay(number, self.rng))
             if self.clock.now() + ANSWER_MARGIN >= request.deadline:
                 raise self._final(request, failures)
 
@@ -119,7 +119,7 @@
             share=row.share if row else NO_SHARE,
             share_version=row.version if row else 0,
         )
-        pick.target.sent_since += 1
+        pick.target.sent_since_report += 1
         outcome = await self.sender.send(request, attempt, pick.target, call)
         if isinstance(outcome, Answered):
             pick.target.note_success()
@@ -133,7 +133,7 @@
         self.events.add(
             "attempt-failed", name, f"{error.kind}: {error.detail}", request.id
         )
-        if error.kind in BLAMED_KINDS and target.note_failure(self.clock.now()):
+        if error.kind in EJECTION_KINDS and target.note_failure(self.clock.now()):
             self.events.add("target-ejected", name, f"last failure: {error.kind}")
 
     def _check_retry(
@@ -148,7 +148,7 @@
             raise self._final(request, failures)
         if error.kind in MEMBERSHIP_KINDS:
             pass
-        elif error.kind not in LOAD_KINDS:
+        elif error.kind not in BUDGETED_KINDS:
             raise self._final(request, failures)
         elif not self.budget.spend(self.clock.now()):
             self.metrics.refusals.labels(str(ErrorKind.RETRY_BUDGET)).inc()
@@ -164,7 +164,7 @@
         """
         error = failures[-1].error
         certain = all(isinstance(failure, NotRun) for failure in failures)
-        if request.needs_holder and error.kind not in PROVED_BY_HOLDER:
+        if request.needs_holder and error.kind not in HOLDER_CHECKED_KINDS:
             certain = False
         return error if certain else with_unknown_outcome(error)
 
--- a/packages/measure/src/briarthread_measure/control_run.py
+++ b/packages/measure/src/briarthread_measure/control_run.py
@@ -28,8 +28,8 @@
 
 from briarthread_common.platform.table_messages import RowWrite, Transaction
 from briarthread_common.utils.hashing import rendezvous_order
+from briarthread_entry.routing.load_watcher import report_interval
 from briarthread_entry.routing.target_table import MAX_WATCHED
-from briarthread_entry.routing.watcher import report_interval
 from briarthread_measure.full_size import (
     ACCOUNTS,
     AGENTS,
--- a/packages/measure/src/briarthread_measure/memory_probe.py
+++ b/packages/measure/src/briarthread_measure/memory_probe.py
@@ -13,8 +13,8 @@
 import anyio
 from docopt import docopt
 
-from briarthread_agent.attempts.ledger import Ledger
 from briarthread_agent.attempts.record import Record
+from briarthread_agent.attempts.record_store import RecordStore
 from briarthread_common.feeds.feed_set import FeedSet
 from briarthread_common.messages.attempt import Attempt
 from briarthread_common.messages.expert_map import even_map
@@ -80,7 +80,7 @@
 def hold_keys(count: int) -> object:
     """Hold remembered keys with an answer each."""
     rng = random.Random(1)
-    ledger = Ledger(Clock())
+    record_store = RecordStore(Clock())
     for _ in range(count):
         attempt = Attempt(
             key=f"client/{random_id(rng)}",
@@ -95,11 +95,11 @@
             keyed=True,
         )
         record = Record(attempt, rng.getrandbits(64), 120.0, 1 << 20)
-        record.answer.start(200, (("content-type", "application/json"),))
-        record.answer.add(bytes(rng.randbytes(ANSWER_BYTES)))
-        record.answer.finish()
-        ledger.add(record)
-    return ledger
+        record.response.start(200, (("content-type", "application/json"),))
+        record.response.add(bytes(rng.randbytes(ANSWER_BYTES)))
+        record.response.finish()
+        record_store.add(record)
+    return record_store
 
 
 def hold_buckets(count: int) -> object:
@@ -110,7 +110,7 @@
     before = read_usage(os.getpid()).rss
     limiter = AccountLimiter(Clock())
     for account in accounts.values():
-        limiter.enter(account, 1)
+        limiter.acquire(account, 1)
     return before, feeds, limiter
 
 
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -80,7 +80,7 @@
         with anyio.CancelScope() as scope:
             self.planner_scopes.append(scope)
             fence = version // VERSIONS_A_FENCE
-            result = await coordinator.place(group, expert_map, fence)
+            result = await coordinator.activate(group, expert_map, fence)
             count(type(result).__name__)
 
     @rule(
--- a/tests/scenarios/test_promises.py
+++ b/tests/scenarios/test_promises.py
@@ -107,7 +107,7 @@
         )
         group = entry.text.current().groups["experts"]
         with anyio.move_on_after(CONFIRM_SECONDS):
-            await coordinator.place(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
+            await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
 
     story.live.run(place())
 
--- a/tests/world/test_at_most_once.py
+++ b/tests/world/test_at_most_once.py
@@ -118,10 +118,10 @@
     async def scenario(world: World) -> None:
         await book(world, ENTRIES[0], "k", "one")
         agent = world.agent(holder_of(world, "one"))
-        agent.gap.last_tick -= 10
-        assert agent.gap.check()
+        agent.freeze_detector.last_tick -= 10
+        assert agent.freeze_detector.check()
         await anyio.sleep(4)
-        assert not agent.gap.check()
+        assert not agent.freeze_detector.check()
         decisions = [event.decision for event in agent.events.ring]
         assert "confirmed" in decisions
 
--- a/tests/world/test_leaving.py
+++ b/tests/world/test_leaving.py
@@ -31,7 +31,7 @@
 def test_target_that_says_it_leaves_gets_nothing_new() -> None:
     async def scenario(world: World) -> None:
         leaving = world.agent("cards-palermo-0")
-        leaving.reporter.drain()
+        leaving.reporter.announce_drain()
         await anyio.sleep(0.5)
         before = world.services["cards-palermo-0"].runs.total()
         await ask_often(world, "cards", 30)
@@ -58,7 +58,8 @@
         answers = await ask_often(world, "cards", 30)
         assert {answer.status for answer in answers} == {200}
         assert (
-            max(world.entry(ENTRY).table.states["cards-palermo-0"].sent_since, 0) == 0
+            max(world.entry(ENTRY).table.states["cards-palermo-0"].sent_since_report, 0)
+            == 0
         )
 
     in_world(scenario)
--- a/tests/world/test_map_agreement.py
+++ b/tests/world/test_map_agreement.py
@@ -30,7 +30,7 @@
     coordinator = Coordinator(channel, entry.directory, entry.events)
     group = entry.text.current().groups["experts"]
     with anyio.move_on_after(seconds):
-        await coordinator.place(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
+        await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
 
 
 def test_late_confirmation_does_not_switch_a_replaced_engine() -> None:
