--- a/packages/agent/src/briarthread_agent/__init__.py
+++ b/packages/agent/src/briarthread_agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent of briarthread: one process before each target."""
+"""The briarthread agent: one process for each target."""
--- a/packages/agent/src/briarthread_agent/__main__.py
+++ b/packages/agent/src/briarthread_agent/__main__.py
@@ -1,4 +1,4 @@
-"""Run the binary as a module."""
+"""Entry point of ``python -m briarthread_agent``."""
 
 from briarthread_agent.main import main
 
--- a/packages/agent/src/briarthread_agent/agent.py
+++ b/packages/agent/src/briarthread_agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent, put together."""
+"""The agent of a target."""
 
 import random
 
@@ -44,12 +44,14 @@
 from briarthread_common.utils.hashing import random_id
 
 INITIAL_SLOTS = 8
+"""Slots until the services text with the agent's service is known."""
 INITIAL_QUEUE_LIMIT = 64
+"""Queue limit until the services text with the agent's service is known."""
 MS_PER_SECOND = 1000
 
 
 class Agent:
-    """Hold the parts of one agent and its ASGI application."""
+    """Create the components of one agent and its ASGI application."""
 
     def __init__(
         self,
@@ -135,16 +137,15 @@
         self.tasks.start_soon(self.replicator.run)
         self.tasks.start_soon(self.freeze_detector.run)
         self.tasks.start_soon(self.share_manager.run)
-        self.tasks.start_soon(self._follow_text)
+        self.tasks.start_soon(self._apply_text_changes)
         self.tasks.start_soon(self.queue.follow_backoff)
         self.tasks.start_soon(self.maps.run)
 
     async def drain(self) -> None:
         """
-        Leave gracefully: say so, hand shares over, let the work finish.
+        Shut down gracefully: announce it, hand shares over, finish accepted attempts.
 
-        New attempts are refused, with proof that they did not run, until the
-        listener closes.
+        Until the listener closes, new attempts are refused as not run.
         """
         logger.info("agent: stopping")
         self._refuse_new_attempts()
@@ -154,7 +155,7 @@
         try:
             await self.share_manager.send_late_records()
         except ChannelError as error:
-            logger.warning("agent: late answers were not handed over: {}", error)
+            logger.warning("agent: late records were not handed over: {}", error)
         self.reporter.close()
 
     def _on_target_leaving(self) -> None:
@@ -178,7 +179,7 @@
             await self.share_manager.hand_over_all()
 
     def ready(self) -> str:
-        """Return why the agent is not ready, or nothing."""
+        """Return why the agent is not ready, or an empty string."""
         if self.guard.draining:
             return "draining"
         if self.settings.service not in self.text.current().services:
@@ -192,7 +193,7 @@
             Route("POST", "/agent/v1/revoke", self.handler.handle_revoke),
             Route("GET", "/agent/v1/load", self.reporter.handle_stream),
             Route("GET", HELLO_PATH, self._handle_hello),
-            Route("POST", HAND_OVER_PATH, self._handle_memory),
+            Route("POST", HAND_OVER_PATH, self._handle_hand_over),
             Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
             *MapHandlers(self.maps).routes(),
             *pages.routes(),
@@ -201,7 +202,7 @@
     async def _handle_hello(self, call: Call) -> None:
         await call.reply_json(Hello(self.settings.name, self.incarnation))
 
-    async def _handle_memory(self, call: Call) -> None:
+    async def _handle_hand_over(self, call: Call) -> None:
         message = await call.read_json(HandOver, MAX_MESSAGE_BYTES)
         service = self.text.current().services[message.service]
         import_records(
@@ -209,15 +210,15 @@
         )
         await call.reply_json(True)
 
-    async def _follow_text(self) -> None:
-        number = 0
+    async def _apply_text_changes(self) -> None:
+        known = 0
         while True:
             service = self.text.current().services.get(self.settings.service)
             if service is not None:
                 self.queue.slots = service.slots
                 self.queue.limit = service.queue
-            await self.feeds.text.wait_beyond(number)
-            number = self.feeds.text.number
+            await self.feeds.text.wait_beyond(known)
+            known = self.feeds.text.number
 
     def _status(self) -> dict[str, object]:
         return {
--- a/packages/agent/src/briarthread_agent/attempts/__init__.py
+++ b/packages/agent/src/briarthread_agent/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""Running each attempt at most once."""
+"""Execution of attempts, each at most once."""
--- a/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
@@ -1,4 +1,4 @@
-"""The agent's side of an attempt's HTTP exchange."""
+"""HTTP handlers for attempts and revokes."""
 
 import anyio
 import msgspec
@@ -23,11 +23,11 @@
 from briarthread_common.messages.revoke import RevokeAnswer, RevokeRequest
 from briarthread_common.text.text_view import TextView
 
-REVOKE_BYTES = 4096
+MAX_REVOKE_BYTES = 4096
 
 
 class AttemptHandler:
-    """Take attempts and revokes from entries."""
+    """Handle attempts and revokes sent by entries."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self.metrics = metrics
 
     async def handle_attempt(self, call: Call) -> None:
-        """Run an attempt and send its answer, or refuse it at once."""
+        """Run an attempt and send its response, or refuse it at once."""
         try:
             record = await self._submit(call)
         except RequestError as error:
@@ -52,22 +52,26 @@
             return
         record.readers += 1
         try:
-            await self._follow(call, record)
+            await self._send_until_disconnect(call, record)
         finally:
             self.runner.remove_reader(record)
 
     async def handle_revoke(self, call: Call) -> None:
-        """Take an attempt back if it has not started."""
-        request = await call.read_json(RevokeRequest, REVOKE_BYTES)
+        """Revoke an attempt that has not started."""
+        request = await call.read_json(RevokeRequest, MAX_REVOKE_BYTES)
         if request.incarnation != self.reporter.incarnation:
-            raise RequestError(ErrorKind.WRONG_INCARNATION, "revoke for another")
+            raise RequestError(
+                ErrorKind.WRONG_INCARNATION, "revoke is for another incarnation"
+            )
         state = self.runner.record_store.revoke(request)
         await call.reply_json(RevokeAnswer(state))
 
     async def _submit(self, call: Call) -> Record:
         attempt = _read_attempt(call)
         if attempt.incarnation != self.reporter.incarnation:
-            raise RequestError(ErrorKind.WRONG_INCARNATION, "for another incarnation")
+            raise RequestError(
+                ErrorKind.WRONG_INCARNATION, "attempt is for another incarnation"
+            )
         service = self.text.current().services.get(self.service)
         if service is None or attempt.service != self.service:
             raise RequestError(
@@ -77,38 +81,40 @@
         body = await call.read_body(service.body_bytes)
         return self.runner.submit(attempt, service, headers, body)
 
-    async def _follow(self, call: Call, record: Record) -> None:
+    async def _send_until_disconnect(self, call: Call, record: Record) -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             try:
-                await self._send_answer(call, record)
+                await self._send_response(call, record)
             except RequestError as error:
                 if call.started:
                     raise AnswerAborted(str(error)) from error
                 await self._refuse(call, error)
             tasks.cancel_scope.cancel()
 
-    async def _send_answer(self, call: Call, record: Record) -> None:
-        answer = record.response
-        await answer.wait_for_head()
-        is_stream = dict(answer.headers).get("content-type", "").startswith(STREAM_TYPE)
+    async def _send_response(self, call: Call, record: Record) -> None:
+        response = record.response
+        await response.wait_for_head()
+        is_stream = (
+            dict(response.headers).get("content-type", "").startswith(STREAM_TYPE)
+        )
         if not is_stream:
-            await answer.wait_for_end()
-        head = [*answer.headers, (RESULT_HEADER, ANSWERED), self._load()]
-        if answer.finished:
-            await call.reply(answer.status, b"".join(answer.chunks), head)
+            await response.wait_for_end()
+        head = [*response.headers, (RESULT_HEADER, ANSWERED), self._load_header()]
+        if response.finished:
+            await call.reply(response.status, b"".join(response.chunks), head)
             return
-        await call.start(answer.status, head)
-        async for chunk in answer.read():
+        await call.start(response.status, head)
+        async for chunk in response.read():
             await call.send_chunk(chunk)
         await call.finish()
 
     async def _refuse(self, call: Call, error: RequestError) -> None:
         self.metrics.refusals.labels(str(error.kind)).inc()
-        headers = [(RESULT_HEADER, str(error.kind)), self._load()]
+        headers = [(RESULT_HEADER, str(error.kind)), self._load_header()]
         await call.reply_error(error, ERROR_ANSWERS[error.kind].status, headers)
 
-    def _load(self) -> tuple[str, str]:
+    def _load_header(self) -> tuple[str, str]:
         report = msgspec.json.encode(self.reporter.report())
         return (LOAD_HEADER, report.decode())
 
@@ -118,4 +124,6 @@
     try:
         return msgspec.json.decode(raw, type=Attempt)
     except msgspec.MsgspecError as error:
-        raise RequestError(ErrorKind.BAD_REQUEST, f"attempt header: {error}") from error
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, f"invalid attempt header: {error}"
+        ) from error
--- a/packages/agent/src/briarthread_agent/attempts/attempt_runner.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Running of attempts, each key at most once."""
+"""Execution of attempts, each key at most once."""
 
 from typing import Protocol
 
@@ -17,23 +17,23 @@
 from briarthread_common.utils.clock import Clock
 
 MIN_TIME_LEFT_FACTOR = 0.7
-"""Part of the mean service time that must be left for a run to begin."""
+"""Factor of the mean service time that must be left for a run to start."""
 
 
 class StartGuard(Protocol):
     """Decide whether an attempt may start on this agent now."""
 
     def check_start(self, attempt: Attempt) -> None:
-        """Raise RequestError when the attempt must not start."""
+        """Raise RequestError if the attempt must not start."""
         ...
 
 
 class AttemptRunner:
     """
-    Run each new key once and let later attempts of it join the run.
+    Run each new key once and let later attempts with the key join the run.
 
-    The run has a task of its own, so that it outlives the connection that
-    asked for it where the request is not idempotent.
+    Each run has its own task, so that the run of a request that is not idempotent
+    continues after the connection that requested it is closed.
     """
 
     def __init__(
@@ -56,24 +56,24 @@
         self, attempt: Attempt, service: Service, headers: Headers, body: bytes
     ) -> Record:
         """
-        Return the record of the attempt's key, starting its run if new.
+        Return the record of the attempt's key, starting a run if there is none.
 
-        Raise RequestError when the attempt is refused; nothing of it then
-        ran or will run.
+        Raise RequestError if the attempt is refused; it then has not run and
+        never will.
         """
         fingerprint = attempt.fingerprint(body)
         record = self.record_store.find(attempt, fingerprint)
         if record is not None:
             return record
         self.guard.check_start(attempt)
-        expires = self._expiry(attempt, service)
+        expires = self._expiry_of(attempt, service)
         record = Record(attempt, fingerprint, expires, service.answer_bytes)
         self.record_store.add(record)
         self.tasks.start_soon(self._run, record, headers, body)
         return record
 
     def remove_reader(self, record: Record) -> None:
-        """Note that a reader is gone; cancel a run that none waits for."""
+        """Remove a reader; cancel the run if it has none left and may be cancelled."""
         record.readers -= 1
         if record.readers == 0 and not record.response.ended and not record.must_finish:
             record.scope.cancel()
@@ -95,47 +95,47 @@
             self.record_store.discard(record)
             return
         if not record.response.ended:
-            record.response.fail(self._cancelled(record))
+            record.response.fail(self._cancellation_error(record))
         record.state = RecordState.ENDED
-        if self._never_reached(record):
+        if self._target_not_reached(record):
             self.record_store.discard(record)
 
     def _check_still_allowed(self, record: Record) -> None:
-        """Check again after the wait; a revoke or a freeze may lie between."""
+        """Check again after queueing, since a revoke or a freeze may have occurred."""
         if record.scope.cancel_called:
             raise RequestError(ErrorKind.REVOKED, "attempt was revoked")
         if self.clock.now() >= record.attempt.deadline:
             raise RequestError(
-                ErrorKind.DEADLINE_PASSED, "deadline passed in the queue"
+                ErrorKind.DEADLINE_PASSED, "deadline passed while queued"
             )
         left = record.attempt.deadline - self.clock.now()
         if left < MIN_TIME_LEFT_FACTOR * self.queue.mean_service_time():
             raise RequestError(
                 ErrorKind.DEADLINE_UNMEETABLE,
-                "too little time left to run",
+                "time left before the deadline is too short to run",
                 retry_after=self.queue.backlog_seconds(),
             )
         self.guard.check_start(record.attempt)
 
-    def _expiry(self, attempt: Attempt, service: Service) -> float:
-        kept = attempt.deadline + MAX_CLOCK_SKEW
+    def _expiry_of(self, attempt: Attempt, service: Service) -> float:
+        expiry = attempt.deadline + MAX_CLOCK_SKEW
         if attempt.keyed and not attempt.idempotent:
-            return max(kept, self.clock.now() + service.retry_horizon)
-        return kept
+            return max(expiry, self.clock.now() + service.retry_horizon)
+        return expiry
 
-    def _cancelled(self, record: Record) -> RequestError:
-        """Return what a cancelled run was: not run only if it never began."""
+    def _cancellation_error(self, record: Record) -> RequestError:
+        """Return the error of a cancelled run: not run only if it never started."""
         if record.state is RecordState.QUEUED:
-            return RequestError(ErrorKind.REVOKED, "cancelled in the queue")
-        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "cancelled while it ran")
+            return RequestError(ErrorKind.REVOKED, "cancelled while queued")
+        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "cancelled while running")
 
-    def _never_reached(self, record: Record) -> bool:
+    def _target_not_reached(self, record: Record) -> bool:
         error = record.response.error
         return error is not None and error.kind is ErrorKind.NO_TARGET
 
 
 async def wait_for_drain(queue: FairQueue, timeout: float) -> bool:
-    """Wait until no attempt runs or waits; tell whether that came in time."""
+    """Wait until no attempt is running or queued; return whether it was in time."""
     with anyio.move_on_after(timeout):
         while queue.running or queue.waiting:
             await anyio.sleep(0.05)
--- a/packages/agent/src/briarthread_agent/attempts/record.py
+++ b/packages/agent/src/briarthread_agent/attempts/record.py
@@ -1,4 +1,4 @@
-"""What an agent remembers of one key."""
+"""The record of one idempotency key."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class RecordState(StrEnum):
-    """Tell how far the run of a key has come."""
+    """State of the run of a key."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -18,11 +18,11 @@
 
 class Record:
     """
-    Hold the one run of a key: its attempts, its state and its answer.
+    Hold the single run of a key: its attempts, its state and its response.
 
-    ``ids`` are the attempts that take part, the first one and those that
-    joined; ``expires`` is the Unix time until which the record is kept.
-    ``imported`` says that the run is, or was, another agent's.
+    ``ids`` are the attempts of the run, the first one and those that joined
+    it; ``expires`` is the Unix time until which the record is kept.
+    ``imported`` is true if the run is, or was, on another agent.
     """
 
     def __init__(
@@ -40,5 +40,5 @@
 
     @property
     def must_finish(self) -> bool:
-        """Tell whether the run goes on when nobody waits for it."""
+        """Return whether the run continues when it has no reader left."""
         return self.state is RecordState.RUNNING and not self.attempt.idempotent
--- a/packages/agent/src/briarthread_agent/attempts/record_store.py
+++ b/packages/agent/src/briarthread_agent/attempts/record_store.py
@@ -1,4 +1,4 @@
-"""The memory that makes each key run at most once."""
+"""Records of idempotency keys, by which each key runs at most once."""
 
 import heapq
 
@@ -10,15 +10,16 @@
 from briarthread_common.utils.clock import Clock
 
 MAX_CLOCK_SKEW = 2.0
-"""Seconds by which clocks of two machines may differ; see the settings page."""
+"""Largest clock difference of two machines, in seconds; see the settings page."""
 
 
 class RecordStore:
     """
-    Remember each key that came and each attempt that was revoked.
+    Store a record of each received key and a tombstone of each revoked attempt.
 
-    A tombstone outlives the deadline of its attempt, past which the agent
-    refuses the attempt anyway; so a late copy of it can never start.
+    A tombstone is kept until after the deadline of its attempt. The agent refuses
+    any attempt past its deadline, so a delayed copy of a revoked attempt never
+    starts.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,10 +30,10 @@
 
     def find(self, attempt: Attempt, fingerprint: int) -> Record | None:
         """
-        Return the record that an attempt joins, ``None`` for a first one.
+        Return the record that an attempt joins, ``None`` if it has to start a run.
 
-        Raise RequestError when the attempt was revoked, or when its key was
-        used for another request.
+        Raise RequestError if the attempt was revoked or its key was used for
+        another request.
         """
         self.expire()
         if attempt.id in self.tombstones:
@@ -50,40 +51,40 @@
         return record
 
     def add(self, record: Record) -> None:
-        """Remember a new record until it expires."""
+        """Store a new record until it expires."""
         self.records[record.attempt.key] = record
         heapq.heappush(self.expiries, (record.expires, record.attempt.key))
 
     def discard(self, record: Record) -> None:
-        """Drop a record whose run never started."""
+        """Remove a record whose run never started."""
         if self.records.get(record.attempt.key) is record:
             del self.records[record.attempt.key]
 
     def revoke(self, request: RevokeRequest) -> RevokeState:
         """
-        Take an attempt back if its key has not started; tell what is so.
+        Revoke an attempt whose key has not started and return the resulting state.
 
-        ``REVOKED`` is a promise that this attempt never runs here. While
-        other attempts of the key wait with it, the key will run, and the
-        answer is ``RUNNING``.
+        ``REVOKED`` guarantees that this attempt never runs here. If other attempts
+        of the key are queued with it, the key will still run, and the state is
+        ``RUNNING``.
         """
         self.expire()
         record = self.records.get(request.key)
         if record is None:
-            self._bury(request)
+            self._add_tombstone(request)
             return RevokeState.REVOKED
         if record.state is RecordState.ENDED:
             return RevokeState.FINISHED
         if record.state is RecordState.RUNNING or record.ids != {request.id}:
             return RevokeState.RUNNING
-        self._bury(request)
+        self._add_tombstone(request)
         record.scope.cancel()
         record.response.fail(RequestError(ErrorKind.REVOKED, "attempt was revoked"))
         self.discard(record)
         return RevokeState.REVOKED
 
     def expire(self) -> None:
-        """Drop what is past its time, but never a run that has not ended."""
+        """Remove expired tombstones and records, except own unfinished runs."""
         now = self.clock.now()
         while self.expiries and self.expiries[0][0] < now:
             _, key = heapq.heappop(self.expiries)
@@ -95,14 +96,16 @@
                 del self.records[key]
             elif record.imported:
                 record.response.fail(
-                    RequestError(ErrorKind.OUTCOME_UNKNOWN, "last holder is gone")
+                    RequestError(
+                        ErrorKind.OUTCOME_UNKNOWN, "the previous holder is gone"
+                    )
                 )
                 del self.records[key]
             else:
                 record.expires = now + MAX_CLOCK_SKEW
                 heapq.heappush(self.expiries, (record.expires, key))
 
-    def _bury(self, request: RevokeRequest) -> None:
+    def _add_tombstone(self, request: RevokeRequest) -> None:
         expires = request.deadline + MAX_CLOCK_SKEW
         self.tombstones[request.id] = expires
         heapq.heappush(self.expiries, (expires, request.id))
--- a/packages/agent/src/briarthread_agent/attempts/response_buffer.py
+++ b/packages/agent/src/briarthread_agent/attempts/response_buffer.py
@@ -1,4 +1,4 @@
-"""The answer of one run, which several readers may follow."""
+"""The response of one run, which several readers may read at once."""
 
 from collections.abc import AsyncIterator
 
@@ -12,10 +12,10 @@
 
 class ResponseBuffer:
     """
-    Collect an answer while any number of readers follow it.
+    Buffer a response while any number of readers read it.
 
-    A reader that comes late gets the same bytes from the first one on; that
-    is how a key asked again is answered.
+    A reader that starts late gets the same bytes from the first one on; this is
+    how a repeated request with the same key is answered.
     """
 
     def __init__(self, limit: int) -> None:
@@ -29,63 +29,63 @@
         self.changed = anyio.Event()
 
     def start(self, status: int, headers: Headers) -> None:
-        """Set the head of the answer."""
+        """Set the status and headers of the response."""
         self.status = status
         self.headers = headers
-        self._wake()
+        self._notify_readers()
 
     def add(self, chunk: bytes) -> None:
-        """Add bytes; raise RequestError past the limit of the service."""
+        """Append bytes; raise RequestError if the service's size limit is exceeded."""
         self.size += len(chunk)
         if self.size > self.limit:
             raise RequestError(
-                ErrorKind.TARGET_FAILED, f"answer is over {self.limit} bytes"
+                ErrorKind.TARGET_FAILED, f"response exceeds {self.limit} bytes"
             )
         self.chunks.append(chunk)
-        self._wake()
+        self._notify_readers()
 
     def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the response as complete."""
         self.finished = True
-        self._wake()
+        self._notify_readers()
 
     def fail(self, error: RequestError) -> None:
-        """Mark the answer as never to become whole."""
+        """Record that the response will never be complete."""
         self.error = error
-        self._wake()
+        self._notify_readers()
 
     @property
     def ended(self) -> bool:
-        """Tell whether nothing more will come."""
+        """Return whether the response is complete or has failed."""
         return self.finished or self.error is not None
 
     async def wait_for_head(self) -> None:
-        """Return once there is a head; raise RequestError if none comes."""
+        """Wait for status and headers; raise RequestError if there are none."""
         while self.status == 0:
             if self.error is not None:
                 raise self.error
             await self.changed.wait()
 
     async def wait_for_end(self) -> None:
-        """Return once the answer is whole; raise RequestError otherwise."""
+        """Wait until the response is complete; raise RequestError if it fails."""
         while not self.ended:
             await self.changed.wait()
         if self.error is not None:
             raise self.error
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yield all bytes as they come; raise RequestError when they stop."""
-        place = 0
+        """Yield all bytes as they arrive; raise RequestError if the run fails."""
+        position = 0
         while True:
-            while place < len(self.chunks):
-                yield self.chunks[place]
-                place += 1
+            while position < len(self.chunks):
+                yield self.chunks[position]
+                position += 1
             if self.error is not None:
                 raise self.error
             if self.finished:
                 return
             await self.changed.wait()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         event, self.changed = self.changed, anyio.Event()
         event.set()
--- a/packages/agent/src/briarthread_agent/attempts/target_client.py
+++ b/packages/agent/src/briarthread_agent/attempts/target_client.py
@@ -1,4 +1,4 @@
-"""Calls to the target that the agent stands before."""
+"""Calls to the agent's target."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
 
 class TargetClient:
     """
-    Run an attempt on the target and collect its answer.
+    Run attempts on the target and buffer its responses.
 
     ``on_leaving`` is called for each response that announces the target's shutdown.
     """
@@ -40,41 +40,41 @@
         self.on_leaving = on_leaving
 
     async def run(
-        self, attempt: Attempt, headers: Headers, body: bytes, answer: ResponseBuffer
+        self, attempt: Attempt, headers: Headers, body: bytes, buffer: ResponseBuffer
     ) -> None:
         """
-        Send the request and fill the answer; never raise a channel's error.
+        Send the request and fill the buffer; never raise a channel's error.
 
-        A target that was never reached gives ``not-run``; any other failure
-        leaves the outcome unknown.
+        The outcome is ``not-run`` if the target was never reached, and unknown after
+        any other failure.
         """
         request = ChannelRequest(
             attempt.method, self.address, attempt.path, headers, body
         )
         try:
             async with self.channel.stream(request) as response:
-                self._note_head(response)
-                answer.start(response.status, _passed_back(response.headers))
+                self._note_signals(response)
+                buffer.start(response.status, _relayed_headers(response.headers))
                 async for chunk in response.body:
-                    answer.add(chunk)
-            answer.finish()
+                    buffer.add(chunk)
+            buffer.finish()
         except NotWrittenError as error:
-            answer.fail(RequestError(ErrorKind.NO_TARGET, str(error)))
+            buffer.fail(RequestError(ErrorKind.NO_TARGET, str(error)))
         except BrokenCallError as error:
-            answer.fail(
+            buffer.fail(
                 RequestError(
                     ErrorKind.TARGET_FAILED, str(error), outcome=Outcome.UNKNOWN
                 )
             )
         except RequestError as error:
-            answer.fail(error)
+            buffer.fail(error)
 
-    def _note_head(self, response: ChannelResponse) -> None:
+    def _note_signals(self, response: ChannelResponse) -> None:
         notice = read_notice(response, LEAVING_HEADER)
         self.backoff.note_response(notice)
         if notice.leaving:
             self.on_leaving()
 
 
-def _passed_back(headers: object) -> Headers:
+def _relayed_headers(headers: object) -> Headers:
     return tuple((k, v) for k, v in headers.items() if k in PASSED_BACK)
--- a/packages/agent/src/briarthread_agent/limits/__init__.py
+++ b/packages/agent/src/briarthread_agent/limits/__init__.py
@@ -1,1 +1,1 @@
-"""The bounded and ordered queue before the target."""
+"""Admission control of attempts to the target."""
--- a/packages/agent/src/briarthread_agent/limits/fair_queue.py
+++ b/packages/agent/src/briarthread_agent/limits/fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue before a target, fair between client accounts."""
+"""Queue of attempts to a target, fair between client accounts."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -14,20 +14,20 @@
 from briarthread_common.utils.decaying_mean import DecayingMean
 
 INITIAL_SERVICE_TIME = 0.02
-"""Service time in seconds that is assumed before the first answer."""
+"""Service time in seconds that is assumed before the first response."""
 MAX_BACKOFF_WAIT = 0.2
 """Longest remaining backoff in seconds that an attempt waits for. With a longer one it
-is refused, so that its entry can try another target within the route's aim."""
+is refused, so that its entry can try another target within the route's objective."""
 
 
 class FairQueue:
     """
-    Give the target's slots to waiting attempts by weighted fair queueing.
+    Assign the target's slots to queued attempts by weighted fair queueing.
 
-    Each account's attempts get start tags that advance by one over its
-    weight; the lowest tag goes first. An account alone takes all slots,
-    two busy ones share them by weight. When the queue is full, the account
-    with the most waiting for its weight gives up a place.
+    The attempts of an account get start tags that advance by one over its weight; the
+    attempt with the lowest tag starts first. A single active account may use all
+    slots; several share them by weight. When the queue is full, an attempt of the
+    account with the most queued attempts relative to its weight is evicted.
 
     During a backoff of the target, new and waiting attempts are refused at once, unless
     the backoff ends within ``MAX_BACKOFF_WAIT``.
@@ -53,17 +53,17 @@
         """
         Hold a slot while the context lasts.
 
-        Raise RequestError at once, with when to come back, when the queue is
-        full, the target's backoff is in effect, or the wait predicted for this attempt
-        goes past its deadline.
+        Raise RequestError at once, with a retry delay, if the queue is full, the
+        target's backoff is in effect, or the attempt is predicted to miss its
+        deadline.
         """
-        await self._enter(account, weight, priority, deadline)
+        await self._acquire(account, weight, priority, deadline)
         started = self.clock.now()
         try:
             yield
         finally:
             self.service_time.add(self.clock.now() - started)
-            self._leave()
+            self._release()
 
     def mean_service_time(self) -> float:
         """Return the mean time in seconds that a slot is held."""
@@ -81,11 +81,11 @@
         return backoff + (ahead + 1) * self.mean_service_time() / self.slots
 
     def backlog_seconds(self) -> float:
-        """Return the seconds that the present queue takes to work off."""
+        """Return the predicted wait in seconds of an attempt behind the whole queue."""
         return self.predicted_wait(len(self.waiting))
 
     async def follow_backoff(self) -> None:
-        """Refuse waiting attempts when a backoff begins; admit them when it ends."""
+        """Refuse queued attempts when a backoff begins; start them when it ends."""
         while True:
             await self.backoff.extended.wait()
             while self.backoff.seconds_left() > 0:
@@ -102,10 +102,10 @@
             waiter.event.set()
         self.waiting.clear()
 
-    async def _enter(
+    async def _acquire(
         self, account: str, weight: float, priority: int, deadline: float
     ) -> None:
-        waiter = Waiter(account, weight, priority, self._tag(account, weight))
+        waiter = Waiter(account, weight, priority, self._start_tag(account, weight))
         left = self.backoff.seconds_left()
         if left > MAX_BACKOFF_WAIT:
             raise _backoff_error(left)
@@ -114,18 +114,18 @@
             return
         ahead = sum(1 for other in self.waiting if other.sort_key < waiter.sort_key)
         self._check_deadline(ahead, deadline)
-        self._make_room(waiter)
+        self._evict_if_full(waiter)
         self.waiting.append(waiter)
         self.start_tags[account] = waiter.tag + 1 / weight
         try:
             await waiter.event.wait()
         except BaseException:
-            self._abandon(waiter)
+            self._withdraw(waiter)
             raise
         if waiter.refusal is not None:
             raise waiter.refusal
 
-    def _tag(self, account: str, weight: float) -> float:
+    def _start_tag(self, account: str, weight: float) -> float:
         return max(self.virtual_time, self.start_tags.get(account, 0.0))
 
     def _check_deadline(self, ahead: int, deadline: float) -> None:
@@ -137,26 +137,26 @@
                 retry_after=self.backlog_seconds(),
             )
 
-    def _make_room(self, waiter: Waiter) -> None:
+    def _evict_if_full(self, waiter: Waiter) -> None:
         if len(self.waiting) < self.limit:
             return
-        victim = self._largest_account_last(waiter)
+        evicted = self._select_evicted(waiter)
         error = RequestError(
             ErrorKind.OVERLOADED, "queue is full", retry_after=self.backlog_seconds()
         )
-        if victim is None:
+        if evicted is None:
             raise error
-        self.waiting.remove(victim)
-        victim.refusal = error
-        victim.event.set()
+        self.waiting.remove(evicted)
+        evicted.refusal = error
+        evicted.event.set()
 
-    def _largest_account_last(self, newcomer: Waiter) -> Waiter | None:
+    def _select_evicted(self, arriving: Waiter) -> Waiter | None:
         counts = Counter(other.account for other in self.waiting)
-        counts[newcomer.account] += 1
+        counts[arriving.account] += 1
         weights = {other.account: other.weight for other in self.waiting}
-        weights[newcomer.account] = newcomer.weight
+        weights[arriving.account] = arriving.weight
         largest = max(counts, key=lambda name: (counts[name] / weights[name], name))
-        if largest == newcomer.account:
+        if largest == arriving.account:
             return None
         return max(
             (other for other in self.waiting if other.account == largest),
@@ -172,7 +172,7 @@
         waiter.granted = True
         waiter.event.set()
 
-    def _leave(self) -> None:
+    def _release(self) -> None:
         self.running -= 1
         self._grant_next()
         if not self.waiting and not self.running:
@@ -188,9 +188,9 @@
     def _usable_slots(self) -> int:
         return self.backoff.usable_slots(self.slots)
 
-    def _abandon(self, waiter: Waiter) -> None:
+    def _withdraw(self, waiter: Waiter) -> None:
         if waiter.granted:
-            self._leave()
+            self._release()
         elif waiter in self.waiting:
             self.waiting.remove(waiter)
 
--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -22,7 +22,7 @@
         self.extended = anyio.Event()
 
     def note_response(self, notice: AnswerNotice) -> None:
-        """Record what the head of a response says."""
+        """Record the signals in the head of a response."""
         now = anyio.current_time()
         if notice.backoff > 0:
             self._extend(now, notice.backoff)
--- a/packages/agent/src/briarthread_agent/limits/waiter.py
+++ b/packages/agent/src/briarthread_agent/limits/waiter.py
@@ -1,4 +1,4 @@
-"""One attempt that waits for a slot."""
+"""A queued attempt."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """Hold a place in the queue; ``tag`` orders it within its priority."""
+    """Hold an attempt that waits for a slot; ``tag`` orders it within its priority."""
 
     account: str
     weight: float
@@ -21,5 +21,5 @@
 
     @property
     def sort_key(self) -> tuple[int, float]:
-        """Return what the queue sorts by: high priority first, then the tag."""
+        """Return the sort key of the queue: high priority first, then low tag."""
         return (-self.priority, self.tag)
--- a/packages/agent/src/briarthread_agent/main.py
+++ b/packages/agent/src/briarthread_agent/main.py
@@ -1,4 +1,4 @@
-"""The ``briarthread-agent`` binary."""
+"""The ``briarthread-agent`` command."""
 
 import sys
 from pathlib import Path
@@ -15,8 +15,9 @@
 VERSION = "briarthread-agent 0.3.0"
 
 USAGE = """
-Stand before one target: run each attempt at most once, in fair order. Or stand
-beside one that entries call directly, and change the map of its group.
+Run the agent of one target: it runs each attempt at most once, in fair order.
+With --direct, run the agent of a target that entries call directly: it changes
+the expert map of the target's group.
 
 Usage:
   briarthread-agent SETTINGS
@@ -26,7 +27,7 @@
   briarthread-agent --version
 
 Options:
-  --direct   Stand beside a target that entries call directly.
+  --direct   Run the agent of a target that entries call directly.
   --check    Check the settings file and exit.
   -h --help  Show this text.
   --version  Show the version.
@@ -38,7 +39,7 @@
 
 
 def main() -> None:
-    """Run the binary and exit."""
+    """Run the ``briarthread-agent`` command and exit."""
     arguments = docopt(USAGE, version=VERSION)
     path = Path(arguments["SETTINGS"])
     direct = arguments["--direct"]
@@ -54,8 +55,8 @@
         sys.exit(ExitCode.DONE)
     set_up_logs(settings.log_level, settings.log_json)
     try:
-        # Imported only where they run: a process that starts anew pays for
-        # every module, and neither kind needs those of the other.
+        # Each kind of agent imports only its own modules, because every import
+        # lengthens the start of the process.
         if direct:
             from briarthread_agent.ranks.direct_agent import serve_direct
 
--- a/packages/agent/src/briarthread_agent/reports/__init__.py
+++ b/packages/agent/src/briarthread_agent/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What the agent says of its load."""
+"""Load reports of the agent."""
--- a/packages/agent/src/briarthread_agent/reports/load_reporter.py
+++ b/packages/agent/src/briarthread_agent/reports/load_reporter.py
@@ -1,4 +1,4 @@
-"""The agent's load, as a value and as a stream."""
+"""Load reports of the agent, single and as a stream."""
 
 import anyio
 import msgspec
@@ -11,19 +11,21 @@
 from briarthread_common.messages.load_report import LoadReport, heartbeat_interval
 
 MIN_INTERVAL = 0.05
+"""Shortest interval in seconds that an entry may request."""
 MAX_INTERVAL = 60.0
+"""Longest interval in seconds that an entry may request."""
 MIN_LOAD_CHANGE = 0.1
-"""Part of the load by which it must change before a line is worth sending."""
+"""Relative change of the load above which a new line is sent."""
 
 
 class LoadReporter:
     """
-    Tell entries of the load: with each answer, and in streams that they hold.
+    Report the load to entries, with each response and in streams that they open.
 
-    A stream carries a line when the load has changed noticeably, at most
-    once in the interval that the entry asked for, and a heartbeat line when
-    nothing changed. That the agent drains, or its target requested a backoff, goes out
-    at once.
+    A stream gets a line when the load has changed by more than ``MIN_LOAD_CHANGE``, at
+    most once per interval that the entry requested, and a heartbeat line when nothing
+    has changed. The start of draining and a backoff requested by the target are
+    reported at once.
     """
 
     def __init__(
@@ -32,17 +34,17 @@
         self.incarnation = incarnation
         self.queue = queue
         self.backoff = backoff
-        self.number = 0
+        self.sequence = 0
         self.draining = False
         self.drain_announced = anyio.Event()
         self.closed = anyio.Event()
 
     def report(self) -> LoadReport:
-        """Return the load now, under the next number."""
-        self.number += 1
+        """Return the current load with the next sequence number."""
+        self.sequence += 1
         return LoadReport(
             i=self.incarnation,
-            n=self.number,
+            n=self.sequence,
             r=self.queue.running,
             q=len(self.queue.waiting),
             s=self.queue.slots,
@@ -52,51 +54,51 @@
         )
 
     def announce_drain(self) -> None:
-        """Say from now on that the agent leaves."""
+        """Report from now on that the agent is draining."""
         self.draining = True
         self.drain_announced.set()
 
     def close(self) -> None:
-        """End all streams, so that the server's stop need not wait for them."""
+        """End all streams, so that the server does not wait for them when it stops."""
         self.closed.set()
 
     async def handle_stream(self, call: Call) -> None:
-        """Send lines until the entry hangs up."""
-        every = _interval(call.query)
+        """Send lines until the entry disconnects or the reporter is closed."""
+        interval = _read_interval(call.query)
         await call.start(200, [("content-type", "application/x-ndjson")])
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._send_lines, call, every)
+            tasks.start_soon(self._send_lines, call, interval)
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             await self.closed.wait()
             tasks.cancel_scope.cancel()
         await call.finish()
 
-    async def _send_lines(self, call: Call, every: float) -> None:
+    async def _send_lines(self, call: Call, interval: float) -> None:
         while True:
             sent = self.report()
             await call.send_chunk(msgspec.json.encode(sent) + b"\n")
-            await self._wait_worth_sending(sent, every)
+            await self._wait_for_change(sent, interval)
 
-    async def _wait_worth_sending(self, sent: LoadReport, every: float) -> None:
-        with anyio.move_on_after(heartbeat_interval(every)):
+    async def _wait_for_change(self, sent: LoadReport, interval: float) -> None:
+        with anyio.move_on_after(heartbeat_interval(interval)):
             while True:
-                extended = await self._pause(every)
-                if extended or self.draining != sent.d or self._changed(sent):
+                extended = await self._wait_interval(interval)
+                if extended or self.draining != sent.d or self._load_changed(sent):
                     return
 
-    async def _pause(self, every: float) -> bool:
-        """Wait for the next line; return whether the target requested a backoff."""
+    async def _wait_interval(self, interval: float) -> bool:
+        """Wait for the next check; return whether the target requested a backoff."""
         if self.draining:
-            await anyio.sleep(every)
+            await anyio.sleep(interval)
             return False
         extended = self.backoff.extended
-        with anyio.move_on_after(every):
+        with anyio.move_on_after(interval):
             async with anyio.create_task_group() as tasks:
                 for event in (self.drain_announced, extended):
                     tasks.start_soon(_cancel_on, event, tasks.cancel_scope)
         return extended.is_set()
 
-    def _changed(self, sent: LoadReport) -> bool:
+    def _load_changed(self, sent: LoadReport) -> bool:
         load = self.queue.running + len(self.queue.waiting)
         before = sent.r + sent.q
         return abs(load - before) > MIN_LOAD_CHANGE * max(before, 1)
@@ -107,10 +109,12 @@
     scope.cancel()
 
 
-def _interval(query: str) -> float:
+def _read_interval(query: str) -> float:
     name, _, raw = query.partition("=")
     try:
         seconds = float(raw) if name == "every" else 1.0
     except ValueError as error:
-        raise RequestError(ErrorKind.BAD_REQUEST, "every takes seconds") from error
+        raise RequestError(
+            ErrorKind.BAD_REQUEST, "every must be a number of seconds"
+        ) from error
     return min(max(seconds, MIN_INTERVAL), MAX_INTERVAL)
--- a/packages/agent/src/briarthread_agent/run_agent.py
+++ b/packages/agent/src/briarthread_agent/run_agent.py
@@ -1,4 +1,4 @@
-"""The agent that stands before a target, as a process."""
+"""The agent of a target as a process."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 async def serve(settings: AgentSettings) -> None:
-    """Run the agent until a signal stops it."""
+    """Run the agent until the process receives a stop signal."""
     channel = HttpChannel()
     listener = open_listener(settings.listen)
     async with anyio.create_task_group() as tasks:
--- a/packages/agent/src/briarthread_agent/settings.py
+++ b/packages/agent/src/briarthread_agent/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the agent, with their defaults."""
+"""Settings of the agent and their defaults."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -16,19 +16,19 @@
 from briarthread_common.spread.spread_options import SpreadOptions
 
 INSTANCE = instance_section(
-    Option("service", OptionKind.TEXT, None, "Service that its target serves."),
+    Option("service", OptionKind.TEXT, None, "Service of the agent's target."),
 )
 TARGET = SectionSpec(
     "target",
-    "The target that the agent stands before.",
-    (Option("address", OptionKind.ADDRESS, None, "Where the target listens."),),
+    "The agent's target.",
+    (Option("address", OptionKind.ADDRESS, None, "Address of the target."),),
 )
 AGENT_SECTIONS = (INSTANCE, TARGET, PLATFORM, PEERS, LOGS)
 
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """Hold the agent's settings; times are in seconds."""
+    """Hold the settings of the agent; times are in seconds."""
 
     name: str
     data_centre: str
@@ -45,7 +45,7 @@
 
 
 def load_agent_settings(path: Path) -> AgentSettings:
-    """Return the settings of a file or raise ChecksFailed with all faults."""
+    """Return the settings in a file or raise ChecksFailed with all faults."""
     values = read_settings(path, AGENT_SECTIONS)
     instance = values["instance"]
     return AgentSettings(
--- a/packages/agent/src/briarthread_agent/shares/__init__.py
+++ b/packages/agent/src/briarthread_agent/shares/__init__.py
@@ -1,1 +1,1 @@
-"""The shares of idempotency keys that the agent holds."""
+"""Shares of idempotency keys that the agent holds."""
--- a/packages/agent/src/briarthread_agent/shares/exported_record.py
+++ b/packages/agent/src/briarthread_agent/shares/exported_record.py
@@ -1,4 +1,4 @@
-"""What a holder hands over of one key."""
+"""Messages of a hand-over of shares."""
 
 from dataclasses import dataclass, field
 
@@ -6,10 +6,11 @@
 @dataclass(frozen=True, slots=True)
 class ExportedRecord:
     """
-    Describe one remembered key.
+    Describe the record of one key.
 
-    With ``finished`` false the run is still going on at the giver, or ended
-    without an answer if ``failed``; its outcome is then unknown.
+    If ``finished`` is false, the run is still in progress on the sender or, if
+    ``failed`` is true, ended without a complete response; its outcome is then
+    unknown.
     """
 
     key: str
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Carry the remembered keys of shares to their next holder."""
+    """Transfer the records of shares to their next holder."""
 
     service: str
     incarnation: str
--- a/packages/agent/src/briarthread_agent/shares/freeze_detector.py
+++ b/packages/agent/src/briarthread_agent/shares/freeze_detector.py
@@ -1,20 +1,21 @@
-"""Noticing that the process itself stood still."""
+"""Detection of pauses of the process."""
 
 import anyio
 
 from briarthread_common.utils.clock import Clock
 
 TICK_INTERVAL = 0.25
+"""Seconds between two ticks."""
 FREEZE_THRESHOLD = 1.5
 """Seconds without a tick after which the process counts as frozen."""
 
 
 class FreezeDetector:
     """
-    Tell whether the process was frozen since its shares were last confirmed.
+    Detect whether the process was frozen since its shares were last confirmed.
 
-    While it stood still others may have taken its shares. The check does
-    not depend on clocks of other machines.
+    Other agents may have taken over its shares during a freeze. The check does not
+    depend on the clocks of other machines.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -23,13 +24,13 @@
         self.freeze_detected = False
 
     def check(self) -> bool:
-        """Tell whether there is a gap that was not yet cleared."""
+        """Return whether there was a freeze that is not cleared yet."""
         if self.clock.now() - self.last_tick > FREEZE_THRESHOLD:
             self.freeze_detected = True
         return self.freeze_detected
 
     def clear(self) -> None:
-        """Note that the shares were confirmed."""
+        """Reset the detector once the shares are confirmed."""
         self.freeze_detected = False
         self.last_tick = self.clock.now()
 
--- a/packages/agent/src/briarthread_agent/shares/hand_over.py
+++ b/packages/agent/src/briarthread_agent/shares/hand_over.py
@@ -1,4 +1,4 @@
-"""Export and import of the memory of shares."""
+"""Export and import of the records of shares."""
 
 from collections.abc import Iterable, Iterator
 
@@ -15,93 +15,95 @@
 def export_shares(
     record_store: RecordStore, shares: Iterable[int]
 ) -> list[ExportedRecord]:
-    """Return what the record store remembers of keys in the shares."""
-    wanted = set(shares)
+    """Return the stored records of the keys in the shares."""
+    selected = set(shares)
     return [
         _export(record)
         for record in record_store.records.values()
-        if record.attempt.keyed and record.attempt.share in wanted
+        if record.attempt.keyed and record.attempt.share in selected
     ]
 
 
 def import_records(
     record_store: RecordStore,
     service: str,
-    answers: Iterable[ExportedRecord],
+    records: Iterable[ExportedRecord],
     limit: int,
 ) -> None:
     """
-    Remember the answers of another holder.
+    Store the records of another holder.
 
-    A key whose run goes on there is kept as running here: whoever asks for
-    it waits, and gets the answer when a second message brings it.
+    A key whose run continues there is stored as running here. Requests with this
+    key wait until a second hand-over message contains the response.
     """
-    for kept in answers:
-        record = record_store.records.get(kept.key)
+    for exported in records:
+        record = record_store.records.get(exported.key)
         if record is None:
-            record = _new_record(service, kept, limit)
+            record = _imported_record(service, exported, limit)
             record_store.add(record)
         if not record.response.ended:
-            _fill(record, kept)
+            _copy_response(record, exported)
 
 
-def split_into_batches(answers: list[ExportedRecord]) -> Iterator[list[ExportedRecord]]:
-    """Yield the answers in groups of at most about BATCH_BYTES."""
-    group: list[ExportedRecord] = []
+def split_into_batches(records: list[ExportedRecord]) -> Iterator[list[ExportedRecord]]:
+    """Yield the records in batches whose bodies take about BATCH_BYTES at most."""
+    batch: list[ExportedRecord] = []
     size = 0
-    for kept in answers:
-        group.append(kept)
-        size += len(kept.body)
+    for exported in records:
+        batch.append(exported)
+        size += len(exported.body)
         if size > BATCH_BYTES:
-            yield group
-            group, size = [], 0
-    yield group
+            yield batch
+            batch, size = [], 0
+    yield batch
 
 
 def _export(record: Record) -> ExportedRecord:
-    answer = record.response
+    response = record.response
     return ExportedRecord(
         key=record.attempt.key,
         account=record.attempt.account,
         share=record.attempt.share,
         fingerprint=record.fingerprint,
         expires=record.expires,
-        finished=answer.finished,
-        failed=answer.error is not None,
-        status=answer.status if answer.finished else 0,
-        headers=list(answer.headers) if answer.finished else [],
-        body=b"".join(answer.chunks) if answer.finished else b"",
+        finished=response.finished,
+        failed=response.error is not None,
+        status=response.status if response.finished else 0,
+        headers=list(response.headers) if response.finished else [],
+        body=b"".join(response.chunks) if response.finished else b"",
     )
 
 
-def _new_record(service: str, kept: ExportedRecord, limit: int) -> Record:
+def _imported_record(service: str, exported: ExportedRecord, limit: int) -> Record:
     attempt = Attempt(
-        key=kept.key,
-        id=f"imported/{kept.key}",
+        key=exported.key,
+        id=f"imported/{exported.key}",
         service=service,
         incarnation="",
-        deadline=kept.expires,
-        account=kept.account,
+        deadline=exported.expires,
+        account=exported.account,
         method="",
         path="",
         idempotent=False,
         keyed=True,
-        share=kept.share,
+        share=exported.share,
     )
-    record = Record(attempt, kept.fingerprint, kept.expires, limit)
+    record = Record(attempt, exported.fingerprint, exported.expires, limit)
     record.imported = True
     record.state = RecordState.RUNNING
     return record
 
 
-def _fill(record: Record, kept: ExportedRecord) -> None:
-    if kept.finished:
-        record.response.start(kept.status, tuple(kept.headers))
-        record.response.add(kept.body)
+def _copy_response(record: Record, exported: ExportedRecord) -> None:
+    if exported.finished:
+        record.response.start(exported.status, tuple(exported.headers))
+        record.response.add(exported.body)
         record.response.finish()
         record.state = RecordState.ENDED
-    elif kept.failed:
+    elif exported.failed:
         record.response.fail(
-            RequestError(ErrorKind.OUTCOME_UNKNOWN, "the run gave no answer")
+            RequestError(
+                ErrorKind.OUTCOME_UNKNOWN, "the run ended without a complete response"
+            )
         )
         record.state = RecordState.ENDED
--- a/packages/agent/src/briarthread_agent/shares/holder_probe.py
+++ b/packages/agent/src/briarthread_agent/shares/holder_probe.py
@@ -1,4 +1,4 @@
-"""Finding out whether another holder's process is dead."""
+"""Probes that check whether the process of another holder is dead."""
 
 from enum import StrEnum
 
@@ -10,10 +10,10 @@
 
 class ProbeResult(StrEnum):
     """
-    Tell what a probe showed.
+    Result of a probe.
 
-    ``REFUSED`` and ``REPLACED`` prove the process dead, because a slot's
-    address is exclusive; ``SILENT`` proves nothing.
+    ``REFUSED`` and ``REPLACED`` prove that the process is dead, because a slot's
+    address is exclusive. ``SILENT`` proves nothing.
     """
 
     ALIVE = "alive"
@@ -23,14 +23,14 @@
 
 
 async def fetch_hello(channel: Channel, address: str) -> Hello:
-    """Return who answers at an address; raise ChannelError if nobody does."""
+    """Return the identity of the process at an address or raise ChannelError."""
     return await call_json(
         channel, address, "GET", HELLO_PATH, None, Hello, HELLO_TIMEOUT
     )
 
 
 async def probe_holder(channel: Channel, address: str, incarnation: str) -> ProbeResult:
-    """Find out whether an incarnation still lives at an address."""
+    """Check whether an incarnation still runs at an address."""
     try:
         hello = await fetch_hello(channel, address)
     except ConnectionRefused:
--- a/packages/agent/src/briarthread_agent/shares/share_guard.py
+++ b/packages/agent/src/briarthread_agent/shares/share_guard.py
@@ -1,4 +1,4 @@
-"""The decision whether an attempt may start on this agent."""
+"""Check whether an attempt may start on this agent."""
 
 from briarthread_agent.shares.freeze_detector import FreezeDetector
 from briarthread_common.core.error_kind import ErrorKind
@@ -13,10 +13,11 @@
 
 class ShareGuard:
     """
-    Let an attempt start only where its key cannot have run elsewhere.
+    Allow an attempt to start only if its key cannot have run elsewhere.
 
-    ``moving`` are shares that are being handed over; ``inherited`` maps a
-    share of this agent's own dead predecessor to the end of its quarantine.
+    ``handing_over`` contains the shares that are being handed over.
+    ``inherited_quarantines`` maps a share held by the dead process that this one
+    replaced to the Unix time at which its quarantine ends.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self.inherited_quarantines: dict[int, float] = {}
 
     def check_start(self, attempt: Attempt) -> None:
-        """Raise RequestError when the attempt must not start here now."""
+        """Raise RequestError if the attempt must not start here now."""
         if self.draining:
             raise RequestError(ErrorKind.DRAINING, "agent is stopping")
         if self.clock.now() >= attempt.deadline:
@@ -47,16 +48,18 @@
         if attempt.idempotent:
             return
         if self.freeze_detector.check():
-            raise RequestError(ErrorKind.NOT_READY, "agent stood still a while ago")
+            raise RequestError(
+                ErrorKind.NOT_READY, "agent was frozen and has not confirmed its shares"
+            )
         if attempt.keyed:
             self._check_share(attempt)
 
     def row(self, share: int) -> ShareRow | None:
-        """Return the newest known row of a share of this agent's service."""
+        """Return the latest known row of a share of this agent's service."""
         return self.shares.get(self.instance.service, self.instance.data_centre, share)
 
     def holds(self, row: ShareRow | None) -> bool:
-        """Tell whether a row names this very process, or one it replaced."""
+        """Return whether a row names this process or one that it replaced."""
         return row is not None and row.address == self.instance.address
 
     def held_rows(self) -> list[ShareRow]:
@@ -68,16 +71,16 @@
         return [row for row in rows if row is not None and self.holds(row)]
 
     def new_quarantine_end(self) -> float:
-        """Return when a share taken now without its memory is safe to serve."""
+        """Return when a share taken over now without its records may be served."""
         service = self.text.current().services[self.instance.service]
         return self.clock.now() + service.retry_horizon + service.max_deadline
 
     def quarantine_of(self, row: ShareRow) -> float:
         """
-        Return when the quarantine of a held share ends.
+        Return the Unix time at which the quarantine of a held share ends.
 
-        A row that names another incarnation is that of the process that this
-        one replaced, whose memory is lost whatever the row says.
+        A row that names another incarnation belongs to the process that this one
+        replaced. Its records are lost, whatever quarantine the row states.
         """
         if row.incarnation == self.incarnation:
             return row.quarantine
@@ -90,7 +93,7 @@
         if row is None or not self.holds(row) or attempt.share in self.handing_over:
             raise RequestError(ErrorKind.NOT_HOLDER, "share is held elsewhere")
         if attempt.share_version > row.version:
-            raise RequestError(ErrorKind.NOT_HOLDER, "share has moved meanwhile")
+            raise RequestError(ErrorKind.NOT_HOLDER, "share was moved in the meantime")
         self._check_quarantine(row)
 
     def _check_quarantine(self, row: ShareRow) -> None:
@@ -98,6 +101,6 @@
         if left > 0:
             raise RequestError(
                 ErrorKind.QUARANTINED,
-                "the memory of this key was lost; an earlier ask may have run",
+                "the record of this key was lost; an earlier attempt may have run",
                 retry_after=left,
             )
--- a/packages/agent/src/briarthread_agent/shares/share_manager.py
+++ b/packages/agent/src/briarthread_agent/shares/share_manager.py
@@ -1,4 +1,4 @@
-"""The task that claims, inherits and hands over shares."""
+"""Task that claims, takes over and hands over shares."""
 
 import random
 from dataclasses import replace
@@ -34,20 +34,22 @@
 
 HAND_OVER_PATH = "/agent/v1/shares/memory"
 RECONCILE_INTERVAL = 2.0
+"""Mean seconds between two checks of the shares."""
 HAND_OVER_TIMEOUT = 3.0
+"""Timeout in seconds of one hand-over message."""
 TAKEOVER_DELAY = 8.0
-"""Seconds for which an address must refuse before its shares are taken."""
+"""Seconds for which an address must refuse before its shares are taken over."""
 
 
 class ShareManager:
     """
-    Keep every share of this agent's service in its data centre held.
+    Ensure that every share of this agent's service in its data centre is held.
 
-    Rows change only by compare-and-set in the platform's table and never
-    expire. A share without a row goes to the first live agent in the
-    share's rendezvous order. A share whose holder is proven dead goes to
-    the next one, in quarantine. A leaving holder gives memory and row to
-    the next one, without quarantine.
+    Rows change only by compare-and-set in the platform's table and never expire. A
+    share without a row is claimed by the first live agent in the share's rendezvous
+    order. A share whose holder is proven dead is taken over by the next agent in that
+    order, with quarantine. A leaving holder hands records and row over to the next
+    agent, without quarantine.
     """
 
     def __init__(
@@ -74,7 +76,7 @@
         self.refused_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look after the shares until cancelled."""
+        """Reconcile the shares periodically until cancelled."""
         await self.replicator.started.wait()
         while True:
             try:
@@ -84,17 +86,17 @@
             await anyio.sleep(RECONCILE_INTERVAL * self.rng.uniform(0.5, 1.5))
 
     async def reconcile(self) -> None:
-        """Confirm after a freeze, then claim what this agent should hold."""
+        """Confirm the shares after a freeze, then claim those due to this agent."""
         if self.guard.freeze_detector.check():
             await self._confirm()
         if self.guard.draining:
             return
-        claims = await self._claims()
+        claims = await self._find_claims()
         if claims:
             await self.writer.write(claims)
 
     async def hand_over_all(self) -> None:
-        """Give every held share to its next holder, memory first."""
+        """Hand every held share over to its next holder, records first."""
         by_successor: dict[str, list[ShareRow]] = {}
         for row in self.guard.held_rows():
             successor = self._next_holder(row.share, {self.instance.name})
@@ -105,38 +107,38 @@
 
     async def hand_over(self, rows: list[ShareRow], successor: Instance) -> None:
         """
-        Give shares with their memory to a successor.
+        Hand shares and their records over to a successor.
 
-        From the first step on this agent starts no key of the shares, so
-        what was sent is all there is to know. Where the platform cannot be
-        reached the row stays and the shares go to quarantine later.
+        This agent starts no key of the shares any more before it sends the records,
+        so the records sent are complete. If the platform cannot be reached, the rows
+        stay, and the shares are quarantined when another agent takes them over.
         """
         shares = [row.share for row in rows]
         self.guard.handing_over.update(shares)
         try:
             hello = await fetch_hello(self.channel, successor.address)
-            await self._send_memory(shares, successor)
-            given = [self._given_to(row, successor, hello.incarnation) for row in rows]
-            await self.writer.write(given)
+            await self._send_records(shares, successor)
+            moved = [self._moved_to(row, successor, hello.incarnation) for row in rows]
+            await self.writer.write(moved)
             await self.replicator.exchange_with(successor.address)
             self.events.add("handed-over", successor.name, f"shares {shares}")
         except (ConflictError, PlatformError, ChannelError) as error:
             self.events.add("hand-over-failed", successor.name, str(error))
 
     async def send_late_records(self) -> None:
-        """Send the answers that were not there yet at the hand-over."""
-        for row in self._given_rows():
+        """Send the records again, with responses completed since the hand-over."""
+        for row in self._handed_over_rows():
             successor = self.directory.all().get(row.holder)
             if successor is not None:
-                await self._send_memory([row.share], successor)
+                await self._send_records([row.share], successor)
 
-    def _given_rows(self) -> list[ShareRow]:
+    def _handed_over_rows(self) -> list[ShareRow]:
         rows = [self.guard.row(share) for share in self.guard.handing_over]
         return [r for r in rows if r is not None and r.address != self.instance.address]
 
-    async def _send_memory(self, shares: list[int], successor: Instance) -> None:
-        for group in split_into_batches(export_shares(self.record_store, shares)):
-            message = HandOver(self.instance.service, self.guard.incarnation, group)
+    async def _send_records(self, shares: list[int], successor: Instance) -> None:
+        for batch in split_into_batches(export_shares(self.record_store, shares)):
+            message = HandOver(self.instance.service, self.guard.incarnation, batch)
             await call_json(
                 self.channel,
                 successor.address,
@@ -147,7 +149,7 @@
                 HAND_OVER_TIMEOUT,
             )
 
-    async def _claims(self) -> list[ShareRow]:
+    async def _find_claims(self) -> list[ShareRow]:
         service = self.guard.text.current().services.get(self.instance.service)
         if service is None or self.instance.data_centre not in service.data_centres:
             return []
@@ -156,24 +158,24 @@
             row = self.guard.row(share)
             if row is None:
                 if self._is_next(share, set()):
-                    claims.append(self._row(share, quarantine=0.0))
+                    claims.append(self._claimed_row(share, quarantine=0.0))
             elif row.address == self.instance.address:
-                claims.extend(self._inherit(row))
-            elif await self._may_take(row):
+                claims.extend(self._claim_inherited(row))
+            elif await self._may_take_over(row):
                 self.events.add("took-over", f"share/{share}", f"{row.holder} is dead")
-                claims.append(self._row(share, self.guard.new_quarantine_end()))
+                claims.append(self._claimed_row(share, self.guard.new_quarantine_end()))
         return claims
 
-    def _inherit(self, row: ShareRow) -> list[ShareRow]:
+    def _claim_inherited(self, row: ShareRow) -> list[ShareRow]:
         if row.incarnation == self.guard.incarnation:
             return []
-        return [self._row(row.share, self.guard.quarantine_of(row))]
+        return [self._claimed_row(row.share, self.guard.quarantine_of(row))]
 
-    async def _may_take(self, row: ShareRow) -> bool:
+    async def _may_take_over(self, row: ShareRow) -> bool:
         if not self._is_next(row.share, {row.holder}):
             return False
         result = await probe_holder(self.channel, row.address, row.incarnation)
-        listed = row.holder in self.directory.all()
+        is_listed = row.holder in self.directory.all()
         match result:
             case ProbeResult.ALIVE:
                 self.refused_since.pop(row.address, None)
@@ -182,19 +184,19 @@
                 return False
             case ProbeResult.REFUSED:
                 now = self.guard.clock.now()
-                first = self.refused_since.setdefault(row.address, now)
-                return not listed or now - first >= TAKEOVER_DELAY
+                first_refused = self.refused_since.setdefault(row.address, now)
+                return not is_listed or now - first_refused >= TAKEOVER_DELAY
             case ProbeResult.SILENT:
-                return not listed
+                return not is_listed
 
     async def _confirm(self) -> None:
-        """Read the rows anew after a freeze, from the platform or a peer."""
+        """Read the rows again after a freeze, from the platform or a peer."""
         try:
             await self.replicator.poll_platform()
         except PlatformError:
             await self._confirm_with_peer()
         self.events.add(
-            "confirmed", self.instance.name, "shares read anew after a freeze"
+            "confirmed", self.instance.name, "shares read again after a freeze"
         )
         self.guard.freeze_detector.clear()
 
@@ -206,7 +208,7 @@
             raise PlatformError("no peer to confirm the shares with")
         await self.replicator.exchange_with(self.rng.choice(peers).address)
 
-    def _row(self, share: int, quarantine: float) -> ShareRow:
+    def _claimed_row(self, share: int, quarantine: float) -> ShareRow:
         return ShareRow(
             service=self.instance.service,
             data_centre=self.instance.data_centre,
@@ -218,7 +220,7 @@
             quarantine=quarantine,
         )
 
-    def _given_to(
+    def _moved_to(
         self, row: ShareRow, successor: Instance, incarnation: str
     ) -> ShareRow:
         return replace(
@@ -229,13 +231,13 @@
             quarantine=self.guard.quarantine_of(row),
         )
 
-    def _is_next(self, share: int, without: set[str]) -> bool:
-        successor = self._next_holder(share, without)
+    def _is_next(self, share: int, excluded: set[str]) -> bool:
+        successor = self._next_holder(share, excluded)
         return successor is not None and successor.name == self.instance.name
 
-    def _next_holder(self, share: int, without: set[str]) -> Instance | None:
+    def _next_holder(self, share: int, excluded: set[str]) -> Instance | None:
         rows = self.directory.targets(self.instance.service, self.instance.data_centre)
-        by_name = {row.name: row for row in rows if row.name not in without}
+        by_name = {row.name: row for row in rows if row.name not in excluded}
         key = share_name(self.instance.service, self.instance.data_centre, share)
         order = rendezvous_order(key, by_name)
         return by_name[order[0]] if order else None
--- a/packages/agent/src/briarthread_agent/shares/share_writer.py
+++ b/packages/agent/src/briarthread_agent/shares/share_writer.py
@@ -1,4 +1,4 @@
-"""Writing of share rows by compare-and-set."""
+"""Compare-and-set writes of share rows."""
 
 from dataclasses import replace
 
@@ -14,7 +14,7 @@
 
 
 class ShareWriter:
-    """Write rows after the version that this process knows, or not at all."""
+    """Write rows only if no version newer than the one known here exists."""
 
     def __init__(
         self, feed: Feed, platform: PlatformClient, replicator: Spreader
@@ -25,10 +25,10 @@
 
     async def write(self, rows: list[ShareRow]) -> None:
         """
-        Write rows under the next version and install them here.
+        Write rows under the next version and install them in the local feed.
 
-        Raise ConflictError when another process was faster, PlatformError
-        when it cannot be found out what became of the write.
+        Raise ConflictError if another process wrote first, and PlatformError if
+        the result of the write cannot be determined.
         """
         base = self.feed.number
         changes: dict[str, str | None] = {}
@@ -36,16 +36,16 @@
             versioned = replace(row, version=base + 1)
             name = share_name(row.service, row.data_centre, row.share)
             changes[name] = msgspec.json.encode(versioned).decode()
-        whole = {**self.feed.items, **changes}
+        snapshot = {**self.feed.items, **changes}
         try:
-            patch = await self.store.append(base, changes, whole)
+            patch = await self.store.append(base, changes, snapshot)
         except (ConflictError, PlatformError):
-            await self._settle(changes)
+            await self._verify_write(changes)
             return
         self.feed.install(patch)
 
-    async def _settle(self, changes: dict[str, str | None]) -> None:
-        """Read back what a write without answer did; raise if nothing."""
+    async def _verify_write(self, changes: dict[str, str | None]) -> None:
+        """Read the rows back after a failed write; raise if it was not applied."""
         await self.replicator.poll_platform()
         if any(self.feed.items.get(name) != raw for name, raw in changes.items()):
-            raise ConflictError("shares were changed by another")
+            raise ConflictError("shares were changed by another process")
