--- a/packages/entry/src/briarthread_entry/limits/__init__.py
+++ b/packages/entry/src/briarthread_entry/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What each client account may use."""
+"""Limits of client accounts."""
--- a/packages/entry/src/briarthread_entry/limits/account_limiter.py
+++ b/packages/entry/src/briarthread_entry/limits/account_limiter.py
@@ -1,4 +1,4 @@
-"""What each client account may use of this entry."""
+"""Rate and concurrency limits of client accounts."""
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
@@ -7,15 +7,17 @@
 from briarthread_entry.limits.token_bucket import TokenBucket
 
 MAX_BUCKETS = 4096
+"""Accounts whose token buckets are kept; the least recently used one is dropped."""
 MIN_CONCURRENCY = 2
+"""Smallest number of concurrent calls that an entry allows an account."""
 
 
 class AccountLimiter:
     """
-    Bound each account's rate and concurrency.
+    Limit the rate and concurrency of each account.
 
-    The text states both for a data centre; an entry enforces its part, one
-    over the number of live entries that it knows of there.
+    The services text states both limits per data centre. Each entry enforces them
+    divided by the number of live entries that it knows in the data centre.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,7 +29,7 @@
         """
         Count a request of the account until ``release`` is called.
 
-        Raise RequestError at once when the account's part is used up.
+        Raise RequestError at once if the account's limit on this entry is reached.
         """
         entries = max(entries, 1)
         self._check_concurrency(account, entries)
@@ -35,34 +37,35 @@
         self.running[account.name] = self.running.get(account.name, 0) + 1
 
     def release(self, account: Account) -> None:
-        """Note that a request of the account has ended."""
+        """Stop counting a request of the account that has ended."""
         self.running[account.name] -= 1
         if not self.running[account.name]:
             del self.running[account.name]
 
     def _check_concurrency(self, account: Account, entries: int) -> None:
-        part = max(MIN_CONCURRENCY, -(-account.concurrency // entries))
-        if self.running.get(account.name, 0) >= part:
+        limit = max(MIN_CONCURRENCY, -(-account.concurrency // entries))
+        if self.running.get(account.name, 0) >= limit:
             raise RequestError(
-                ErrorKind.ACCOUNT_CONCURRENCY, f"{part} calls are in flight here"
+                ErrorKind.ACCOUNT_CONCURRENCY,
+                f"{limit} concurrent calls are allowed on this entry",
             )
 
     def _check_rate(self, account: Account, entries: int) -> None:
         rate = account.rate / entries
         bucket = self.buckets.get(account.name)
         if bucket is None:
-            self._drop_idle()
+            self._evict_oldest()
             bucket = TokenBucket(tokens=max(rate, 1.0), updated=self.clock.now())
             self.buckets[account.name] = bucket
         wait = bucket.take(rate, self.clock.now())
         if wait > 0:
             raise RequestError(
                 ErrorKind.ACCOUNT_RATE,
-                f"{rate:g} calls a second are allowed here",
+                f"{rate:g} calls per second are allowed on this entry",
                 retry_after=wait,
             )
 
-    def _drop_idle(self) -> None:
+    def _evict_oldest(self) -> None:
         if len(self.buckets) >= MAX_BUCKETS:
             oldest = min(self.buckets, key=lambda name: self.buckets[name].updated)
             del self.buckets[oldest]
--- a/packages/entry/src/briarthread_entry/maps/__init__.py
+++ b/packages/entry/src/briarthread_entry/maps/__init__.py
@@ -1,1 +1,1 @@
-"""Planning of a group's expert map and bringing it in force."""
+"""Planning and activation of the expert maps of groups."""
--- a/packages/entry/src/briarthread_entry/maps/coordinator.py
+++ b/packages/entry/src/briarthread_entry/maps/coordinator.py
@@ -1,4 +1,4 @@
-"""Bringing a planned map in force on all agents of a group."""
+"""Activation of a planned map on all agents of a group."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,34 +25,34 @@
 from briarthread_common.text.group import Group
 
 T = TypeVar("T")
-CALL_TIMEOUT = 2.0
-STAGE_TIMEOUT = 120.0
+CALL_TIMEOUT_SECONDS = 2.0
+STAGE_TIMEOUT_SECONDS = 120.0
 ACTIVATION_LEAD_STEPS = 100
-"""Steps between the slowest rank and the one from which a map holds."""
+"""Steps from the highest step reported on staging to the one that activates the map."""
 CONFIRM_ATTEMPTS = 5
 CONFIRM_RETRY_SECONDS = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Activated:
-    """The map holds from this step on."""
+    """Result: the map is active from ``step`` on."""
 
     step: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotActivated:
-    """The group stays on its map; ``reason`` says why."""
+    """Result: the group keeps its current map for the given reason."""
 
     reason: str
 
 
 class Coordinator:
     """
-    Stage a map on every rank, announce it, and confirm it once all know it.
+    Stage a map on every rank, announce it, and confirm it once all acknowledged.
 
-    Nothing here has to last: if this process dies at any point, the agents
-    settle among themselves whether the map holds.
+    The coordinator needs no durable state: if its process dies at any point, the
+    agents decide among themselves whether the map becomes active.
     """
 
     def __init__(self, channel: Channel, directory: Directory, events: EventLog):
@@ -63,7 +63,7 @@
     async def activate(
         self, group: Group, expert_map: ExpertMap, fence: int
     ) -> Activated | NotActivated:
-        """Bring a map in force under a planner's fencing number."""
+        """Activate a map under a planner's fencing token."""
         result = await self._activate(group, expert_map, fence)
         subject = f"{group.name}/map/{expert_map.version}"
         match result:
@@ -74,7 +74,7 @@
         return result
 
     async def fetch_standings(self, group: Group) -> dict[str, Standing]:
-        """Return the standing of each agent that answers, by name."""
+        """Return the state of each agent that responds, by target name."""
         return await self._call_all(group, STANDING_PATH, lambda name: None, Standing)
 
     async def _activate(
@@ -82,17 +82,17 @@
     ) -> Activated | NotActivated:
         standings = await self.fetch_standings(group)
         if len(standings) < len(group.targets):
-            return NotActivated("an agent is silent")
+            return NotActivated("an agent did not respond")
         if any(row.version == NO_MAP or row.pending for row in standings.values()):
-            return NotActivated("a rank has no map yet or holds for another")
+            return NotActivated("a rank has no map yet or is held for another map")
         staged = await self._call_all(
             group,
             STAGE_PATH,
             lambda name: StageMap(group.name, fence, expert_map),
             MapAnswer,
-            STAGE_TIMEOUT,
+            STAGE_TIMEOUT_SECONDS,
         )
-        refusal = _refusal(group, staged)
+        refusal = _find_refusal(group, staged)
         if refusal:
             return NotActivated(f"not staged: {refusal}")
         step = max(answer.step for answer in staged.values()) + ACTIVATION_LEAD_STEPS
@@ -108,7 +108,7 @@
             ),
             MapAnswer,
         )
-        refusal = _refusal(group, announced)
+        refusal = _find_refusal(group, announced)
         if refusal:
             return NotActivated(f"not announced: {refusal}")
         return await self._confirm(group, standings, expert_map.version, fence, step)
@@ -133,7 +133,7 @@
             if any(answer.accepted for answer in answers.values()):
                 return Activated(step)
             await anyio.sleep(CONFIRM_RETRY_SECONDS)
-        return NotActivated("no agent took the confirmation")
+        return NotActivated("no agent accepted the confirmation")
 
     async def _call_all(
         self,
@@ -141,9 +141,9 @@
         path: str,
         build: Callable[[str], object],
         answer_type: type[T],
-        timeout: float = CALL_TIMEOUT,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> dict[str, T]:
-        """Return the answers by the target's name, silent ones left out."""
+        """Return the answers of the agents that respond, by target name."""
         rows = self.directory.all()
         names = {rows[name].address: name for name in group.targets if name in rows}
         messages = {address: build(name) for address, name in names.items()}
@@ -151,11 +151,11 @@
         return {names[address]: answer for address, answer in answers.items()}
 
 
-def _refusal(group: Group, answers: dict[str, MapAnswer]) -> str:
+def _find_refusal(group: Group, answers: dict[str, MapAnswer]) -> str:
     for name in group.targets:
         answer = answers.get(name)
         if answer is None:
-            return f"{name} is silent"
+            return f"{name} did not respond"
         if not answer.accepted:
             return f"{name}: {answer.reason}"
     return ""
--- a/packages/entry/src/briarthread_entry/maps/group_planner.py
+++ b/packages/entry/src/briarthread_entry/maps/group_planner.py
@@ -1,4 +1,4 @@
-"""The duty of planning the maps of groups."""
+"""Periodic planning of the expert maps of groups."""
 
 import random
 from dataclasses import dataclass
@@ -23,18 +23,18 @@
 from briarthread_common.utils.hashing import rendezvous_order
 from briarthread_entry.maps.coordinator import Coordinator
 
-PLAN_INTERVAL = 300.0
-REPORT_TIMEOUT = 5.0
+PLAN_INTERVAL_SECONDS = 300.0
+REPORT_TIMEOUT_SECONDS = 5.0
 LEASE_SECONDS = 180.0
 WEIGHT_STORE_BYTES_PER_SECOND = 500e6
-"""Bytes a second that a group gets of the rate-limited weight store."""
+"""Bandwidth that a group gets from the rate-limited weight store."""
 VERSIONS_PER_FENCE = 1 << 20
-"""Maps proposed under different fencing numbers never share a version."""
+"""Versions per fencing token; maps proposed under two tokens never share a version."""
 
 
 @dataclass(slots=True)
 class GroupObservation:
-    """Hold what the planner remembers of a group between two looks."""
+    """Hold the planner's data on a group between two observations."""
 
     popularity: Popularity
     last_counts: list[list[int]]
@@ -42,11 +42,11 @@
 
 class GroupPlanner:
     """
-    Plan the maps of the groups for which this entry is first in order.
+    Plan the maps of the groups for which this entry ranks first.
 
-    Looking and deciding need no lease: two entries that both do it only do
-    work twice. A lease with a fencing number is taken just before a map is
-    placed, so a platform outage stops moves and nothing else.
+    Observing and deciding need no lease: if two entries do both, they only repeat
+    work. A lease with a fencing token is acquired just before a map is activated, so
+    a platform outage stops map changes and nothing else.
     """
 
     def __init__(
@@ -75,15 +75,15 @@
         self.proposals = 0
 
     async def run(self) -> None:
-        """Look after the groups until cancelled."""
+        """Plan the maps periodically until cancelled."""
         while True:
-            await anyio.sleep(PLAN_INTERVAL * self.rng.uniform(0.8, 1.2))
+            await anyio.sleep(PLAN_INTERVAL_SECONDS * self.rng.uniform(0.8, 1.2))
             for group in list(self.text.current().groups.values()):
                 if self._is_responsible(group):
                     await self._plan_logging_errors(group)
 
     async def plan(self, group: Group) -> None:
-        """Look at a group, decide, and place a better map if it pays."""
+        """Observe a group, decide, and activate a better map if it is worthwhile."""
         report = await self._fetch_report(group)
         if report is None or not self._observe(group, report):
             return
@@ -105,7 +105,7 @@
         lease = Lease(self.platform, self.clock, f"groups/{group.name}", LEASE_SECONDS)
         match await lease.take(self.name):
             case HeldByOther(holder=holder):
-                self.events.add("map-stays", group.name, f"{holder} plans it")
+                self.events.add("map-stays", group.name, f"{holder} holds the lease")
             case Held(fence=fence):
                 self.proposals += 1
                 version = fence * VERSIONS_PER_FENCE + self.proposals
@@ -115,8 +115,8 @@
                     f"{move.moved} experts, saves {move.saved:.0f} s, "
                     f"costs {move.cost:.0f} s of loading",
                 )
-                wanted = ExpertMap(version, move.expert_map.layers)
-                await self.coordinator.activate(group, wanted, fence)
+                planned = ExpertMap(version, move.expert_map.layers)
+                await self.coordinator.activate(group, planned, fence)
 
     async def _plan_logging_errors(self, group: Group) -> None:
         try:
@@ -125,35 +125,39 @@
             logger.debug("maps: {}: {}", group.name, error)
 
     async def _fetch_report(self, group: Group) -> MapReport | None:
-        rows = self.directory.all()
-        known = [rows[name].address for name in group.targets if name in rows]
-        if not known:
+        instances = self.directory.all()
+        addresses = [
+            instances[name].address for name in group.targets if name in instances
+        ]
+        if not addresses:
             return None
         return await call_json(
             self.channel,
-            self.rng.choice(known),
+            self.rng.choice(addresses),
             "GET",
             REPORT_PATH,
             None,
             MapReport,
-            REPORT_TIMEOUT,
+            REPORT_TIMEOUT_SECONDS,
         )
 
     def _observe(self, group: Group, report: MapReport) -> bool:
-        """Take the tokens since the last look in; tell whether there were any."""
-        watch = self.observations.get(group.name)
-        if watch is None:
+        """Add the token counts since the last report; return whether there were any."""
+        observation = self.observations.get(group.name)
+        if observation is None:
             popularity = Popularity(group.layers, group.experts)
             popularity.updated = self.clock.now()
             self.observations[group.name] = GroupObservation(popularity, report.counts)
             return False
-        fresh = [
-            [max(new - old, 0) for new, old in zip(news, olds, strict=True)]
-            for news, olds in zip(report.counts, watch.last_counts, strict=True)
+        new_counts = [
+            [max(new - old, 0) for new, old in zip(new_row, old_row, strict=True)]
+            for new_row, old_row in zip(
+                report.counts, observation.last_counts, strict=True
+            )
         ]
-        watch.last_counts = report.counts
-        watch.popularity.add(self.clock.now(), fresh)
-        return any(map(any, fresh))
+        observation.last_counts = report.counts
+        observation.popularity.add(self.clock.now(), new_counts)
+        return any(map(any, new_counts))
 
     def _is_responsible(self, group: Group) -> bool:
         if group.data_centre != self.data_centre:
--- a/packages/entry/src/briarthread_entry/retries/__init__.py
+++ b/packages/entry/src/briarthread_entry/retries/__init__.py
@@ -1,1 +1,1 @@
-"""When an attempt is sent again."""
+"""Retries of failed attempts."""
--- a/packages/entry/src/briarthread_entry/retries/retry_budget.py
+++ b/packages/entry/src/briarthread_entry/retries/retry_budget.py
@@ -1,21 +1,22 @@
-"""The bound on attempts sent again."""
+"""Budget of retries."""
 
 from dataclasses import dataclass
 
 RETRIES_PER_SUCCESS = 0.2
 """Retries allowed for each success."""
 MAX_TOKENS = 10.0
+"""Largest number of retries that can be saved up."""
 REFILL_PER_SECOND = 0.5
-"""Retries allowed a second while nothing succeeds."""
+"""Retries allowed per second while nothing succeeds."""
 
 
 @dataclass(slots=True)
 class RetryBudget:
     """
-    Allow retries as a share of recent successes.
+    Allow retries in proportion to recent successes.
 
-    Under overload successes get rare and so do retries; they never multiply
-    what overloads the targets.
+    Under overload there are few successes and so few retries; retries therefore do
+    not multiply the load on the targets.
 
     >>> budget = RetryBudget(tokens=0.5)
     >>> budget.spend(now=0.0)
@@ -30,11 +31,11 @@
     updated: float = 0.0
 
     def note_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add a fraction of a retry for a success."""
         self.tokens = min(MAX_TOKENS, self.tokens + RETRIES_PER_SUCCESS)
 
     def spend(self, now: float) -> bool:
-        """Take one retry out; tell whether there was one."""
+        """Take one retry out of the budget; return whether one was available."""
         if self.updated:
             self.tokens = min(
                 MAX_TOKENS, self.tokens + (now - self.updated) * REFILL_PER_SECOND
--- a/packages/entry/src/briarthread_entry/retries/retry_policy.py
+++ b/packages/entry/src/briarthread_entry/retries/retry_policy.py
@@ -1,4 +1,4 @@
-"""Which failed attempts are worth another one."""
+"""Rules and delays of retries after failed attempts."""
 
 import random
 
@@ -11,7 +11,7 @@
         ErrorKind.NOT_HOLDER,
     }
 )
-"""Refusals because instances come and go; they do not spend the budget."""
+"""Refusals caused by changes of instances; their retries are not charged."""
 
 BUDGETED_KINDS = frozenset(
     {
@@ -26,7 +26,7 @@
         ErrorKind.DEADLINE_PASSED,
     }
 )
-"""Failures that more attempts could make worse; each spends the budget."""
+"""Failures that retries could aggravate; each retry is charged to the budget."""
 
 EJECTION_KINDS = frozenset(
     {ErrorKind.NO_TARGET, ErrorKind.TARGET_FAILED, ErrorKind.OUTCOME_UNKNOWN}
@@ -34,9 +34,8 @@
 """
 Failures that count towards the ejection of a target.
 
-A late answer and a revoked attempt are not among them: both come from a
-target that is alive and has too much to do, and ejecting it takes away
-capacity just when it is short.
+Late responses and revoked attempts are excluded: both come from a target that is
+alive but overloaded, and ejecting it would remove capacity when it is scarce.
 """
 
 HOLDER_CHECKED_KINDS = frozenset(
@@ -48,19 +47,20 @@
     }
 )
 """
-Refusals that a holder gives after it has looked the key up.
+Refusals that a holder sends after looking the key up.
 
-A revoked attempt is not among them: the agent that revokes it may hold the
-share no longer, or only since an earlier ask ran at another holder.
+Revoked attempts are excluded: the agent that revokes one may no longer hold the
+share, or may hold it only since an earlier attempt ran on another holder.
 """
 
 MAX_ATTEMPTS = 3
 MAX_HOLDER_ATTEMPTS = 10
-BASE_DELAY = 0.02
-MAX_DELAY = 0.5
+"""Most attempts of a request that only the holder of its share may run."""
+BASE_DELAY_SECONDS = 0.02
+MAX_DELAY_SECONDS = 0.5
 
 
 def retry_delay(attempt: int, rng: random.Random) -> float:
-    """Return the seconds to wait before an attempt, doubling, with jitter."""
-    bound = min(MAX_DELAY, BASE_DELAY * 2**attempt)
+    """Return the delay before a retry in seconds: exponential, with jitter."""
+    bound = min(MAX_DELAY_SECONDS, BASE_DELAY_SECONDS * 2**attempt)
     return bound * rng.uniform(0.5, 1.0)
--- a/packages/entry/src/briarthread_entry/routing/__init__.py
+++ b/packages/entry/src/briarthread_entry/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which target an attempt goes to."""
+"""Choice of the target of each attempt."""
--- a/packages/entry/src/briarthread_entry/routing/choose_target.py
+++ b/packages/entry/src/briarthread_entry/routing/choose_target.py
@@ -1,4 +1,4 @@
-"""The choice among targets."""
+"""Choice of a target by the power of two random choices."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -13,10 +13,10 @@
     states: Sequence[TargetState], now: float, rng: random.Random
 ) -> TargetState | None:
     """
-    Return the cheaper of two targets drawn at random, ``None`` if none is.
+    Return the cheaper of two usable targets drawn at random, ``None`` without any.
 
-    Two choices rather than the best of all, so that entries that share a
-    stale picture do not all send to the same target.
+    The cheapest of all targets is not used, because entries with the same outdated
+    load reports would then all send to the same target.
     """
     usable = [state for state in states if state.usable(now)]
     if not usable:
--- a/packages/entry/src/briarthread_entry/routing/load_watcher.py
+++ b/packages/entry/src/briarthread_entry/routing/load_watcher.py
@@ -1,4 +1,4 @@
-"""The tasks that follow the load of the watched targets."""
+"""Tasks that read the load reports of the watched targets."""
 
 import random
 
@@ -18,30 +18,30 @@
 from briarthread_entry.routing.target_table import TargetTable
 
 REPORT_BYTES = 150
-"""Bytes of one report on the wire, headers of TCP and IP included."""
+"""Bytes of one report on the wire, including TCP and IP headers."""
 REPORT_BYTES_PER_SECOND = 1000
-"""Bytes a second that an entry spends on reports, of the 3 KB for control."""
-MIN_INTERVAL = 0.25
-MAX_MISSED_HEARTBEATS = 2.5
-"""Heartbeats without a line after which a target counts as down."""
+"""Budget of an entry for load reports, out of 3 KB per second for control traffic."""
+MIN_INTERVAL_SECONDS = 0.25
+HEARTBEAT_TIMEOUT_INTERVALS = 2.5
+"""Heartbeat intervals without a line after which a target counts as down."""
 RETRY_SECONDS = 1.0
 REFRESH_SECONDS = 1.0
 
 
 def report_interval(watched: int) -> float:
     """
-    Return the seconds between reports that keep an entry in its budget.
+    Return the seconds between two reports that keep an entry within its budget.
 
     >>> report_interval(1)
     0.25
     >>> report_interval(62)
     9.3
     """
-    return max(MIN_INTERVAL, watched * REPORT_BYTES / REPORT_BYTES_PER_SECOND)
+    return max(MIN_INTERVAL_SECONDS, watched * REPORT_BYTES / REPORT_BYTES_PER_SECOND)
 
 
 class LoadWatcher:
-    """Hold a stream of load reports to each watched target."""
+    """Keep a stream of load reports open to the agent of each watched target."""
 
     def __init__(
         self,
@@ -68,10 +68,10 @@
         async with anyio.create_task_group() as tasks:
             while True:
                 self.refresh(tasks)
-                await self._wait_change()
+                await self._wait_for_change()
 
     def refresh(self, tasks: TaskGroup) -> None:
-        """Start a task for each new target and stop those of gone ones."""
+        """Start a task for each new target and stop those of removed targets."""
         self.table.refresh(self.text.current())
         for name, (state, scope) in list(self.scopes.items()):
             if self.table.states.get(name) is not state:
@@ -83,7 +83,7 @@
                 self.scopes[name] = (state, scope)
                 tasks.start_soon(self._watch, state, scope)
 
-    async def _wait_change(self) -> None:
+    async def _wait_for_change(self) -> None:
         with anyio.move_on_after(REFRESH_SECONDS):
             feed = self.table.directory.feed
             await feed.wait_beyond(feed.number)
@@ -92,41 +92,45 @@
         with scope:
             while True:
                 try:
-                    await self._follow(state)
+                    await self._read_reports(state)
                 except ChannelError as error:
-                    self._note_down(state, str(error))
+                    self._mark_down(state, str(error))
                 await anyio.sleep(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
 
-    async def _follow(self, state: TargetState) -> None:
-        every = report_interval(len(self.table.states))
-        silence = MAX_MISSED_HEARTBEATS * heartbeat_interval(every)
+    async def _read_reports(self, state: TargetState) -> None:
+        interval = report_interval(len(self.table.states))
+        timeout = HEARTBEAT_TIMEOUT_INTERVALS * heartbeat_interval(interval)
         request = ChannelRequest(
-            "GET", state.instance.address, f"/agent/v1/load?every={every:.2f}"
+            "GET", state.instance.address, f"/agent/v1/load?every={interval:.2f}"
         )
         async with self.channel.stream(request) as response:
             lines = read_lines(response.body)
             while True:
-                with anyio.move_on_after(silence):
+                with anyio.move_on_after(timeout):
                     line = await anext(lines, None)
-                    self._take_line(state, line)
+                    self._apply_line(state, line)
                     continue
-                raise BrokenCallError("no report for too long")
+                raise BrokenCallError("no load report within the heartbeat timeout")
 
-    def _take_line(self, state: TargetState, line: bytes | None) -> None:
+    def _apply_line(self, state: TargetState, line: bytes | None) -> None:
         if line is None:
-            raise BrokenCallError("report stream ended")
+            raise BrokenCallError("load report stream ended")
         try:
             report = msgspec.json.decode(line, type=LoadReport)
         except msgspec.MsgspecError as error:
-            raise BrokenCallError(f"broken report: {error}") from error
+            raise BrokenCallError(f"invalid load report: {error}") from error
         if not state.connected:
             self.events.add("target-up", state.instance.name, report.i)
         elif report.d and state.report is not None and not state.report.d:
-            self.events.add("target-leaving", state.instance.name, "it said so")
+            self.events.add(
+                "target-leaving",
+                state.instance.name,
+                "its agent reports that it is draining",
+            )
         state.connected = True
         state.apply_report(report, self.clock.now())
 
-    def _note_down(self, state: TargetState, reason: str) -> None:
+    def _mark_down(self, state: TargetState, reason: str) -> None:
         if state.connected:
             self.events.add("target-down", state.instance.name, reason)
         state.connected = False
--- a/packages/entry/src/briarthread_entry/routing/router.py
+++ b/packages/entry/src/briarthread_entry/routing/router.py
@@ -1,4 +1,4 @@
-"""Where the attempts of a request may go."""
+"""Routing of attempts to targets."""
 
 import random
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """Hold the chosen target, and the share's row where the key needs one."""
+    """Hold the chosen target, and the row of the share if its holder was needed."""
 
     target: TargetState
     row: ShareRow | None = None
@@ -32,10 +32,10 @@
     """
     Choose the target of each attempt.
 
-    A request whose key was given by the caller and may run only once goes
-    to the holder of its share. Any other goes to the cheaper of two targets
-    here, or where none here can take it, to one in another data centre.
-    ``choose`` picks among the targets here; measurements put others in.
+    A request with a caller's key that may run only once is routed to the holder of
+    its share. Any other request is routed to the cheaper of two local targets or, if
+    no local target is usable, to a target in another data centre. ``choose`` selects
+    among the local targets; measurements replace it.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         return Pick(chosen)
 
     def has_target(self, service: Service) -> bool:
-        """Tell whether some target of a service can take a request."""
+        """Return whether any target of a service can accept a request."""
         now = self.clock.now()
         if any(state.usable(now) for state in self.table.by_service(service.name)):
             return True
-        return bool(self._remote(service, set()))
+        return bool(self._remote_targets(service, set()))
 
     async def _pick_holder(self, request: CallerRequest, text: ServicesText) -> Pick:
         service = request.service
@@ -88,9 +88,9 @@
             raise RequestError(
                 ErrorKind.HOLDER_UNREACHABLE, f"share {share} in {home} has no holder"
             )
-        watched = self.table.by_address(row.address)
-        if watched is not None and watched.incarnation:
-            return Pick(watched, row)
+        known = self.table.by_address(row.address)
+        if known is not None and known.incarnation:
+            return Pick(known, row)
         instance = Instance(
             row.holder, home, row.address, InstanceRole.TARGET, service.name
         )
@@ -111,13 +111,13 @@
                 retry_after=min(backoffs),
             )
         return RequestError(
-            ErrorKind.NO_TARGET, f"no target of {service.name} can take it"
+            ErrorKind.NO_TARGET, f"no target of {service.name} is usable"
         )
 
     async def _pick_remote(
         self, service: Service, tried: set[str]
     ) -> TargetState | None:
-        remote = self._remote(service, tried)
+        remote = self._remote_targets(service, tried)
         self.rng.shuffle(remote)
         for instance in remote[:2]:
             try:
@@ -135,7 +135,7 @@
             return TargetState(instance, incarnation=hello.incarnation)
         return None
 
-    def _remote(self, service: Service, tried: set[str]) -> list[Instance]:
+    def _remote_targets(self, service: Service, tried: set[str]) -> list[Instance]:
         return [
             instance
             for data_centre in service.data_centres
--- a/packages/entry/src/briarthread_entry/routing/target_state.py
+++ b/packages/entry/src/briarthread_entry/routing/target_state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one target."""
+"""An entry's state of one target."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,22 @@
 from briarthread_common.messages.load_report import LoadReport
 
 EJECTION_FAILURES = 3
-"""Failures in a row after which a target is left out for a while."""
+"""Consecutive failures after which a target is ejected for some time."""
 BASE_EJECTION_SECONDS = 5.0
+"""Duration of the first ejection; it doubles with each further one."""
 MAX_EJECTION_SECONDS = 60.0
 SLOW_START_SECONDS = 5.0
 INITIAL_SERVICE_MS = 20.0
+"""Service time assumed while the reports state none."""
 
 
 @dataclass(slots=True, eq=False)
 class TargetState:
     """
-    Hold the last report of a target and what was sent to it since.
+    Hold the last report of a target and the number of attempts sent since.
 
-    ``incarnation`` is empty until the agent has said who it is. The target's
-    backoff lasts until ``backoff_until``. Times are Unix seconds.
+    ``incarnation`` is empty until the agent's first report. The target's backoff
+    lasts until ``backoff_until``. Times are Unix seconds.
     """
 
     instance: Instance
@@ -34,7 +36,7 @@
     backoff_until: float = 0.0
 
     def apply_report(self, report: LoadReport, now: float) -> bool:
-        """Take a report unless a newer one is known; tell if it was taken."""
+        """Apply a report unless a newer one is known; return whether it was applied."""
         if report.i != self.incarnation:
             self.incarnation = report.i
             self.report = None
@@ -48,12 +50,12 @@
         return True
 
     def note_success(self) -> None:
-        """Forget earlier failures."""
+        """Record a success, which resets failures and ejections."""
         self.failures = 0
         self.ejections = 0
 
     def note_failure(self, now: float) -> bool:
-        """Count a failure; tell whether it ejects the target."""
+        """Record a failure; return whether it ejects the target."""
         self.failures += 1
         if self.failures < EJECTION_FAILURES:
             return False
@@ -66,7 +68,7 @@
         return True
 
     def usable(self, now: float) -> bool:
-        """Tell whether new attempts may go there."""
+        """Return whether new attempts may be sent to the target."""
         return (
             self.connected
             and self.report is not None
@@ -79,9 +81,9 @@
         """
         Return the milliseconds that one more attempt is expected to take.
 
-        It is the reported load and what was sent since, over the measured
-        rate. A target just up counts as slower at first, so that it is not
-        flooded on the ground of an empty report.
+        They follow from the reported load, the attempts sent since and the measured
+        service time. A target that has just come up counts as slower at first, so that
+        it is not flooded because of an empty report.
         """
         report = self.report
         if report is None:
--- a/packages/entry/src/briarthread_entry/routing/target_table.py
+++ b/packages/entry/src/briarthread_entry/routing/target_table.py
@@ -1,4 +1,4 @@
-"""The targets that an entry watches."""
+"""Targets whose load an entry watches."""
 
 from briarthread_common.messages.instance import Instance
 from briarthread_common.spread.directory import Directory
@@ -7,17 +7,18 @@
 from briarthread_entry.routing.target_state import TargetState
 
 MAX_WATCHED = 64
-"""Targets that one entry watches, unless it has very many services."""
+"""Targets that one entry watches, unless ``MIN_SUBSET`` per service are more."""
 MIN_SUBSET = 2
+"""Fewest targets of each service that an entry watches."""
 
 
 class TargetTable:
     """
-    Hold a state for each target that this entry watches.
+    Hold the state of each target that this entry watches.
 
-    Of a service with many targets in the data centre an entry watches a
-    subset, drawn by rendezvous hash from its own name, so that entries
-    differ and a change of the list moves little.
+    Of a service with many targets in the data centre, an entry watches a subset. It
+    is selected by rendezvous hashing with the entry's name, so that entries watch
+    different subsets and a change of the instance list alters few of them.
     """
 
     def __init__(self, name: str, data_centre: str, directory: Directory) -> None:
@@ -27,11 +28,11 @@
         self.states: dict[str, TargetState] = {}
 
     def refresh(self, text: ServicesText) -> None:
-        """Bring the watched targets in line with text and instance list."""
-        wanted = self._wanted(text)
-        for name in self.states.keys() - wanted.keys():
+        """Update the watched targets from the services text and the instance list."""
+        selected = self._select_targets(text)
+        for name in self.states.keys() - selected.keys():
             del self.states[name]
-        for name, instance in wanted.items():
+        for name, instance in selected.items():
             known = self.states.get(name)
             if known is None or known.instance != instance:
                 self.states[name] = TargetState(instance)
@@ -48,23 +49,23 @@
             (s for s in self.states.values() if s.instance.address == address), None
         )
 
-    def _wanted(self, text: ServicesText) -> dict[str, Instance]:
-        wanted: dict[str, Instance] = {}
+    def _select_targets(self, text: ServicesText) -> dict[str, Instance]:
+        selected: dict[str, Instance] = {}
         subset = subset_size(len(text.services))
         for service in text.services.values():
             rows = self.directory.targets(service.name, self.data_centre)
             by_name = {row.name: row for row in rows}
             chosen = rendezvous_order(self.name, by_name)[:subset]
-            wanted.update({name: by_name[name] for name in chosen})
-        return wanted
+            selected.update({name: by_name[name] for name in chosen})
+        return selected
 
 
 def subset_size(services: int) -> int:
     """
     Return how many targets of each service an entry watches.
 
-    A small deployment watches all of them; at many services two of each are
-    enough to choose between.
+    Entries of a small deployment watch all of them; with many services two of each
+    are enough for a choice.
 
     >>> subset_size(2), subset_size(31)
     (32, 2)
--- a/tests/world/test_at_most_once.py
+++ b/tests/world/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once, whatever fails."""
+"""A request that is not idempotent runs at most once, whatever fails."""
 
 import anyio
 from builders import in_world
@@ -10,41 +10,41 @@
 ENTRIES = ("entry-palermo-0", "entry-catania-0", "entry-messina-0")
 
 
-async def book(world: World, entry: str, key: str, body: str) -> Answer:
+async def send_booking(world: World, entry: str, key: str, body: str) -> Answer:
     return await world.call(entry, "diary/b", "salon-0", key, body.encode())
 
 
 def holder_of(world: World, body: str) -> str:
-    return next(name for name, s in world.services.items() if s.runs[body])
+    return next(name for name, service in world.services.items() if service.runs[body])
 
 
-def test_answer_lost_on_the_way_is_replayed_not_run_again() -> None:
+def test_lost_answer_is_replayed_without_a_second_run() -> None:
     async def scenario(world: World) -> None:
         world.network.lose_answers[ATTEMPTS] = 1
-        answer = await book(world, ENTRIES[0], "k", "one")
+        answer = await send_booking(world, ENTRIES[0], "k", "one")
         assert answer.status == 200
         assert world.runs("one") == 1
 
     in_world(scenario)
 
 
-def test_attempt_that_arrives_twice_runs_once() -> None:
+def test_duplicated_attempt_runs_once() -> None:
     async def scenario(world: World) -> None:
         world.network.duplicate[ATTEMPTS] = 1
-        await book(world, ENTRIES[0], "k", "one")
+        await send_booking(world, ENTRIES[0], "k", "one")
         assert world.runs("one") == 1
 
     in_world(scenario)
 
 
-def test_key_of_a_killed_holder_is_answered_unknown_with_retry_after() -> None:
+def test_key_of_killed_holder_gets_unknown_outcome_with_retry_after() -> None:
     async def scenario(world: World) -> None:
-        await book(world, ENTRIES[0], "k", "one")
+        await send_booking(world, ENTRIES[0], "k", "one")
         name = holder_of(world, "one")
         world.kill(name)
         world.start(name)
         await anyio.sleep(5)
-        again = await book(world, ENTRIES[1], "k", "one")
+        again = await send_booking(world, ENTRIES[1], "k", "one")
         assert again.status == 503
         assert again.outcome == "unknown"
         assert int(again.headers["retry-after"]) > 0
@@ -53,14 +53,14 @@
     in_world(scenario)
 
 
-def test_share_of_a_dead_holder_is_served_again_after_quarantine() -> None:
+def test_share_of_dead_holder_is_served_after_quarantine() -> None:
     async def scenario(world: World) -> None:
-        await book(world, ENTRIES[0], "k", "one")
+        await send_booking(world, ENTRIES[0], "k", "one")
         name = holder_of(world, "one")
         world.kill(name)
         world.platform.state.unlist([name])
         await anyio.sleep(100)
-        later = await book(world, ENTRIES[0], "k2", "two")
+        later = await send_booking(world, ENTRIES[0], "k2", "two")
         assert later.status == 200
         assert world.runs("two") == 1
 
@@ -79,33 +79,33 @@
     in_world(scenario)
 
 
-def test_bookings_go_on_through_a_ten_minute_platform_outage() -> None:
+def test_bookings_are_served_during_ten_minute_platform_outage() -> None:
     async def scenario(world: World) -> None:
         world.platform.state.mode = PlatformMode.DOWN
         for minute in range(10):
             await anyio.sleep(60)
-            answer = await book(world, ENTRIES[0], f"k{minute}", f"b{minute}")
+            answer = await send_booking(world, ENTRIES[0], f"k{minute}", f"b{minute}")
             assert answer.status == 200
 
     in_world(scenario)
 
 
-def test_bookings_go_on_in_a_data_centre_cut_off_from_everything() -> None:
+def test_bookings_are_served_in_isolated_data_centre() -> None:
     async def scenario(world: World) -> None:
         for other in ("catania", "messina", "platform"):
             world.network.cut("palermo", other)
         await anyio.sleep(60)
-        answer = await book(world, ENTRIES[0], "k", "one")
+        answer = await send_booking(world, ENTRIES[0], "k", "one")
         assert answer.status == 200
 
     in_world(scenario)
 
 
-def test_key_held_in_a_data_centre_out_of_reach_is_unknown_at_once() -> None:
+def test_key_held_in_unreachable_data_centre_is_unknown_at_once() -> None:
     async def scenario(world: World) -> None:
         world.network.cut("palermo", "catania")
         start = world.clock.now()
-        answer = await book(world, ENTRIES[1], "k", "one")
+        answer = await send_booking(world, ENTRIES[1], "k", "one")
         assert answer.outcome == "unknown"
         assert "retry-after" in answer.headers
         assert world.clock.now() - start < 5.0
@@ -114,9 +114,9 @@
     in_world(scenario)
 
 
-def test_holder_that_stood_still_confirms_before_it_runs_a_key() -> None:
+def test_holder_confirms_shares_after_freeze() -> None:
     async def scenario(world: World) -> None:
-        await book(world, ENTRIES[0], "k", "one")
+        await send_booking(world, ENTRIES[0], "k", "one")
         agent = world.agent(holder_of(world, "one"))
         agent.freeze_detector.last_tick -= 10
         assert agent.freeze_detector.check()
@@ -128,11 +128,11 @@
     in_world(scenario)
 
 
-def test_leaving_holder_hands_its_memory_over() -> None:
+def test_leaving_holder_hands_over_records() -> None:
     async def scenario(world: World) -> None:
-        first = await book(world, ENTRIES[0], "k", "one")
+        first = await send_booking(world, ENTRIES[0], "k", "one")
         await world.stop(holder_of(world, "one"))
-        again = await book(world, ENTRIES[2], "k", "one")
+        again = await send_booking(world, ENTRIES[2], "k", "one")
         assert again.status == 200
         assert again.body == first.body
         assert world.runs("one") == 1
@@ -140,23 +140,23 @@
     in_world(scenario)
 
 
-def test_run_whose_caller_hung_up_is_finished_before_a_planned_stop() -> None:
+def test_run_of_disconnected_caller_finishes_before_planned_stop() -> None:
     async def scenario(world: World) -> None:
         for service in world.services.values():
             service.delay = 3.0
         with anyio.move_on_after(0.2):
-            await book(world, ENTRIES[0], "k", "one")
+            await send_booking(world, ENTRIES[0], "k", "one")
         await world.stop(holder_of(world, "one"))
-        again = await book(world, ENTRIES[2], "k", "one")
+        again = await send_booking(world, ENTRIES[2], "k", "one")
         assert again.status == 200
         assert world.runs("one") == 1
 
     in_world(scenario)
 
 
-def test_share_inherited_and_handed_over_stays_in_quarantine() -> None:
+def test_inherited_share_stays_in_quarantine_after_hand_over() -> None:
     async def scenario(world: World) -> None:
-        await book(world, ENTRIES[0], "k", "one")
+        await send_booking(world, ENTRIES[0], "k", "one")
         name = holder_of(world, "one")
         world.kill(name)
         world.platform.state.mode = PlatformMode.DOWN
@@ -164,28 +164,28 @@
         await anyio.sleep(3)
         world.platform.state.mode = PlatformMode.UP
         await world.stop(name)
-        again = await book(world, ENTRIES[1], "k", "one")
+        again = await send_booking(world, ENTRIES[1], "k", "one")
         assert again.outcome == "unknown"
         assert world.runs("one") == 1
 
     in_world(scenario)
 
 
-def test_run_in_flight_at_a_hand_over_is_answered_by_the_next_holder() -> None:
+def test_run_in_progress_at_hand_over_is_answered_by_next_holder() -> None:
     async def scenario(world: World) -> None:
         for service in world.services.values():
             service.delay = 0.8
         answers: list[Answer] = []
 
-        async def ask(entry: str) -> None:
-            answers.append(await book(world, entry, "k", "one"))
+        async def send(entry: str) -> None:
+            answers.append(await send_booking(world, entry, "k", "one"))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(ask, ENTRIES[0])
+            tasks.start_soon(send, ENTRIES[0])
             await anyio.sleep(0.1)
             tasks.start_soon(world.stop, holder_of(world, "one"))
             await anyio.sleep(0.5)
-            tasks.start_soon(ask, ENTRIES[2])
+            tasks.start_soon(send, ENTRIES[2])
         assert [answer.status for answer in answers] == [200, 200]
         assert world.runs("one") == 1
 
--- a/tests/world/test_backoffs.py
+++ b/tests/world/test_backoffs.py
@@ -8,42 +8,42 @@
 
 ENTRIES = tuple(f"entry-{name}-0" for name in ("palermo", "catania", "messina"))
 MAX_EARLY_REQUESTS = 2
-"""Requests that a target may get from its agent within a backoff."""
-RETRY_AFTER = 3.0
+"""Requests that a target may get from its agent during a backoff."""
+RETRY_AFTER_SECONDS = 3.0
 MAX_REFUSED = 5
 """Callers that get the target's own 503: one for each backoff that it requests."""
 REQUESTS = 400
 
 
-async def ask_often(world: World, service: str) -> list[Answer]:
-    """Return the answers to callers that come through all entries in turn."""
+async def send_requests(world: World, service: str) -> list[Answer]:
+    """Return the answers to requests sent through all entries in turn."""
     answers: list[Answer] = []
 
-    async def ask(number: int) -> None:
+    async def send(number: int) -> None:
         entry = ENTRIES[number % len(ENTRIES)]
         body = f"{service}-{number}".encode()
         answers.append(await world.call(entry, f"{service}/x", "salon-0", None, body))
 
     async with anyio.create_task_group() as tasks:
         for number in range(REQUESTS):
-            tasks.start_soon(ask, number)
+            tasks.start_soon(send, number)
             await anyio.sleep(0.03)
     return answers
 
 
-def refuse(world: World, *names: str, seconds: float = 8.0) -> None:
+def request_backoff(world: World, *names: str, seconds: float = 8.0) -> None:
     now = anyio.current_time()
     for name in names:
-        world.services[name].refusals.refuse(now, now + seconds, RETRY_AFTER)
+        world.services[name].refusals.refuse(now, now + seconds, RETRY_AFTER_SECONDS)
 
 
 @pytest.mark.parametrize("service", ["cards", "diary"])
-def test_target_gets_no_requests_within_the_pause_that_it_asked_its_agent_for(
+def test_target_gets_no_requests_during_the_backoff_that_it_requested(
     service: str,
 ) -> None:
     async def scenario(world: World) -> None:
-        refuse(world, f"{service}-palermo-0")
-        await ask_often(world, service)
+        request_backoff(world, f"{service}-palermo-0")
+        await send_requests(world, service)
         refusals = world.services[f"{service}-palermo-0"].refusals
         assert refusals.refused
         assert refusals.max_early_requests() <= MAX_EARLY_REQUESTS
@@ -51,34 +51,36 @@
     in_world(scenario)
 
 
-def test_callers_are_served_by_other_targets_meanwhile() -> None:
+def test_other_targets_serve_callers_during_a_backoff() -> None:
     async def scenario(world: World) -> None:
-        refuse(world, "cards-palermo-0")
-        answers = await ask_often(world, "cards")
+        request_backoff(world, "cards-palermo-0")
+        answers = await send_requests(world, "cards")
         refused = [answer for answer in answers if answer.status != 200]
         assert len(refused) <= MAX_REFUSED
 
     in_world(scenario)
 
 
-def test_target_gets_its_share_again_after_the_backoff() -> None:
+def test_target_gets_its_portion_again_after_the_backoff() -> None:
     async def scenario(world: World) -> None:
-        refuse(world, "cards-palermo-0", seconds=0.5)
-        await ask_often(world, "cards")
+        request_backoff(world, "cards-palermo-0", seconds=0.5)
+        await send_requests(world, "cards")
         assert world.services["cards-palermo-0"].runs.total() >= 0.1 * REQUESTS
 
     in_world(scenario)
 
 
-def test_callers_are_told_when_the_first_backoff_ends_if_all_targets_back_off() -> None:
+def test_retry_after_is_the_end_of_the_first_backoff_if_all_targets_back_off() -> None:
     async def scenario(world: World) -> None:
-        refuse(world, *(name for name in world.services if name.startswith("cards")))
-        answers = await ask_often(world, "cards")
+        request_backoff(
+            world, *(name for name in world.services if name.startswith("cards"))
+        )
+        answers = await send_requests(world, "cards")
         refused = [a for a in answers if "backing-off" in a.body.decode()]
         assert refused
         waits = [float(answer.headers["retry-after"]) for answer in refused]
         assert min(waits) > 0
-        assert max(waits) <= RETRY_AFTER
+        assert max(waits) <= RETRY_AFTER_SECONDS
         assert {answer.outcome for answer in refused} == {"not-run"}
         for name, service in world.services.items():
             assert service.refusals.max_early_requests() <= MAX_EARLY_REQUESTS, name
--- a/tests/world/test_map_agreement.py
+++ b/tests/world/test_map_agreement.py
@@ -1,4 +1,4 @@
-"""Cases of the agreement on a map that fuzzing has found."""
+"""Regression tests of failures in the activation of maps that fuzzing found."""
 
 import anyio
 from builders import build_text
@@ -11,7 +11,7 @@
 from briarthread_standins.world import World
 
 NEW_MAP = 7
-LATE_SECONDS = 0.3
+DELAY_SECONDS = 0.3
 
 
 async def start_group(tasks: anyio.abc.TaskGroup) -> tuple[World, RankGroup]:
@@ -24,7 +24,7 @@
     return world, group
 
 
-async def place(world: World, seconds: float) -> None:
+async def activate_map(world: World, seconds: float) -> None:
     entry = world.entry("entry-0")
     channel = world.network.channel("planner", "planner")
     coordinator = Coordinator(channel, entry.directory, entry.events)
@@ -33,17 +33,17 @@
         await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
 
 
-def test_late_confirmation_does_not_switch_a_replaced_engine() -> None:
+def test_delayed_confirmation_does_not_switch_a_restarted_engine() -> None:
     async def scenario() -> None:
         async with anyio.create_task_group() as tasks:
             world, group = await start_group(tasks)
             address = world.instances[RANKS[0]].address
-            world.network.late = LATE_SECONDS
+            world.network.late = DELAY_SECONDS
             world.network.delay[f"{CONFIRM_PATH}@{address}"] = 1
-            await place(world, CONFIRM_SECONDS)
+            await activate_map(world, CONFIRM_SECONDS)
             group.engines[0].restart()
             group.engines[0].staged = NEW_MAP
-            await anyio.sleep(LATE_SECONDS + 0.05)
+            await anyio.sleep(DELAY_SECONDS + 0.05)
             assert group.engines[0].version != NEW_MAP
             await anyio.sleep(10)
             assert group.mismatches == []
--- a/tests/world/test_planning.py
+++ b/tests/world/test_planning.py
@@ -1,4 +1,4 @@
-"""A group's map is planned, placed by all ranks, and explained."""
+"""A group's map is planned, activated by all ranks, and recorded in the event log."""
 
 import anyio
 from builders import build_text, in_world
@@ -21,50 +21,54 @@
     ),
 )
 BEST_SKEW = 1.22
-"""Three replicas of one hot expert and two of the other over three ranks."""
-HOT = [[1000, 10, 10, 1000, 10, 10]]
+"""Skew with three replicas of one hot expert and two of the other on three ranks."""
+HOT_COUNTS = [[1000, 10, 10, 1000, 10, 10]]
+"""Tokens of each expert; two experts are hot."""
 
 
 def add_group(world: World) -> RankGroup:
-    first = even_map(1, 1, EXPERTS, len(RANKS))
-    group = world.add_group(RANKS, "palermo", "assistant", True, first)
+    initial_map = even_map(1, 1, EXPERTS, len(RANKS))
+    group = world.add_group(RANKS, "palermo", "assistant", True, initial_map)
     group.step_time = STEP_SECONDS
     for engine in group.engines:
         engine.counts = [[0] * EXPERTS]
     return group
 
 
-async def pass_tokens(group: RankGroup, seconds: float) -> None:
+async def add_tokens(group: RankGroup, seconds: float) -> None:
     for engine in group.engines:
         engine.counts = [
-            [old + new for old, new in zip(engine.counts[0], HOT[0], strict=True)]
+            [
+                old + new
+                for old, new in zip(engine.counts[0], HOT_COUNTS[0], strict=True)
+            ]
         ]
     await anyio.sleep(seconds)
 
 
-def test_map_moves_to_relieve_the_rank_with_the_hot_experts() -> None:
+def test_map_change_relieves_the_rank_with_the_hot_experts() -> None:
     async def scenario(world: World) -> None:
         group = add_group(world)
         await anyio.sleep(400)
-        await pass_tokens(group, 400)
+        await add_tokens(group, 400)
         assert {engine.version for engine in group.engines} != {1}
         assert not group.mismatches
         engine = group.engines[0]
-        assert map_skew(engine.maps[1], HOT) > 2.9
-        assert map_skew(engine.maps[engine.version], HOT) < BEST_SKEW * 1.05
+        assert map_skew(engine.maps[1], HOT_COUNTS) > 2.9
+        assert map_skew(engine.maps[engine.version], HOT_COUNTS) < BEST_SKEW * 1.05
         decisions = [e.decision for e in world.entry("entry-palermo-0").events.ring]
         assert "map-moved" in decisions
 
     in_world(scenario, text=TEXT, data_centres=("palermo",), targets=1)
 
 
-def test_platform_outage_stops_moves_and_not_steps() -> None:
+def test_platform_outage_stops_map_changes_but_not_steps() -> None:
     async def scenario(world: World) -> None:
         group = add_group(world)
         await anyio.sleep(400)
         world.platform.state.mode = PlatformMode.DOWN
         before = group.step
-        await pass_tokens(group, 400)
+        await add_tokens(group, 400)
         assert {engine.version for engine in group.engines} == {1}
         assert group.step > before
 
