--- a/packages/agent/src/briarthread_agent/shares/hand_over.py
+++ b/packages/agent/src/briarthread_agent/shares/hand_over.py
@@ -27,7 +27,7 @@
 def import_records(
     record_store: RecordStore,
     service: str,
-    records: Iterable[ExportedRecord],
+    exported_records: Iterable[ExportedRecord],
     limit: int,
 ) -> None:
     """
@@ -36,7 +36,7 @@
     A key whose run continues there is stored as running here. Requests with this
     key wait until a second hand-over message contains the response.
     """
-    for exported in records:
+    for exported in exported_records:
         record = record_store.records.get(exported.key)
         if record is None:
             record = _imported_record(service, exported, limit)
