--- a/packages/agent/src/briarthread_agent/limits/waiter.py
+++ b/packages/agent/src/briarthread_agent/limits/waiter.py
@@ -1,4 +1,4 @@
-"""One attempt that waits for a slot."""
+"""A queued attempt."""
 
 from dataclasses import dataclass, field
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """Hold a place in the queue; ``tag`` orders it within its priority."""
+    """Hold an attempt that waits for a slot; ``tag`` orders it within its priority."""
 
     account: str
     weight: float
@@ -20,6 +20,6 @@
     event: anyio.Event = field(default_factory=anyio.Event)
 
     @property
-    def order(self) -> tuple[int, float]:
-        """Return what the queue sorts by: high priority first, then the tag."""
+    def sort_key(self) -> tuple[int, float]:
+        """Return the sort key of the queue: high priority first, then low tag."""
         return (-self.priority, self.tag)
--- a/packages/agent/src/briarthread_agent/holding/kept_answer.py
+++ b/packages/agent/src/briarthread_agent/shares/exported_record.py
@@ -1,15 +1,16 @@
-"""What a holder hands over of one key."""
+"""Messages of a hand-over of shares."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class ExportedRecord:
     """
-    Describe one remembered key.
+    Describe the record of one key.
 
-    With ``finished`` false the run is still going on at the giver, or ended
-    without an answer if ``failed``; its outcome is then unknown.
+    If ``finished`` is false, the run is still in progress on the sender or, if
+    ``failed`` is true, ended without a complete response; its outcome is then
+    unknown.
     """
 
     key: str
@@ -26,8 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """Carry the remembered keys of shares to their next holder."""
+    """Transfer the records of shares to their next holder."""
 
     service: str
     incarnation: str
-    answers: list[KeptAnswer]
+    answers: list[ExportedRecord]
