--- a/packages/entry/src/briarthread_entry/direct/home_slots.py
+++ b/packages/entry/src/briarthread_entry/direct/assigned_slots.py
@@ -17,7 +17,7 @@
 from briarthread_common.utils.hashing import stable_hash
 
 
-class HomeSlots:
+class AssignedSlots:
     """Tell how many slots of each rank are one entry's own."""
 
     def __init__(self, name: str, directory: Directory) -> None:
@@ -31,11 +31,14 @@
         known = self.known.get(service)
         if known is None or known[0] != state:
             entries = self.directory.of_role(InstanceRole.ENTRY).values()
-            known = self.known[service] = (state, own_slots(self.name, entries, ranks))
+            known = self.known[service] = (
+                state,
+                assign_slots(self.name, entries, ranks),
+            )
         return known[1]
 
 
-def own_slots(
+def assign_slots(
     name: str, entries: Iterable[Instance], ranks: Iterable[DirectTarget]
 ) -> dict[str, int]:
     """
@@ -47,7 +50,7 @@
 
     >>> entries = [Instance(f"e{n}", "a", "", InstanceRole.ENTRY) for n in range(2)]
     >>> ranks = [DirectTarget(f"r{n}", "s", "", "a", 2, False) for n in range(3)]
-    >>> sum(own_slots("e0", entries, ranks).values())
+    >>> sum(assign_slots("e0", entries, ranks).values())
     3
     """
     by_centre: dict[str, list[str]] = {}
--- a/packages/entry/src/briarthread_entry/direct/attempt_outcome.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_outcome.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TargetAnswer:
+class TargetResponse:
     """The target's whole answer; ``headers`` go on to the caller."""
 
     status: int
@@ -15,48 +15,48 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamPassedOn:
+class StreamRelayed:
     """
     The caller has the whole stream.
 
-    ``first_at`` is when its first event went out on the runtime's clock,
+    ``first_event_at`` is when its first event went out on the runtime's clock,
     ``None`` for a stream without events; ``longest_pause`` is in seconds.
     """
 
-    first_at: float | None = None
+    first_event_at: float | None = None
     longest_pause: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class ProvedNotRun:
+class NotRun:
     """
     The target did not run the attempt and never will.
 
     ``written`` says whether the attempt was sent at all; ``replaced`` that
-    another target answers at the address now; ``faulty`` names the rank of
+    another target answers at the address now; ``faulty_rank`` names the rank of
     its group that the target says is at fault.
     """
 
     error: RequestError
     written: bool = True
     replaced: bool = False
-    faulty: str = ""
+    faulty_rank: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class MayHaveRun:
+class OutcomeUnknown:
     """
     The attempt may have run, and its answer is lost or spoilt.
 
-    ``broken_off`` says that the connection ended before all of it was there.
+    ``connection_lost`` says that the connection ended before all of it was there.
     """
 
     error: RequestError
-    broken_off: bool = False
+    connection_lost: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class LeftSlowRank:
+class RankTooSlow:
     """
     The stream was broken off to go on at another rank.
 
@@ -66,4 +66,4 @@
     factor: float
 
 
-DirectOutcome = TargetAnswer | StreamPassedOn | ProvedNotRun | MayHaveRun | LeftSlowRank
+DirectOutcome = TargetResponse | StreamRelayed | NotRun | OutcomeUnknown | RankTooSlow
--- a/packages/entry/src/briarthread_entry/direct/attempt_notes.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -6,26 +6,26 @@
 from briarthread_common.direct.answer_notice import SERVICE_UNAVAILABLE
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    MayHaveRun,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    OutcomeUnknown,
+    RankTooSlow,
+    StreamRelayed,
+    TargetResponse,
 )
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.group_rooms import GroupRooms
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_state import DirectTargetState
 
-STALL_SECONDS = 1.2
+GROUP_STALL_SECONDS = 1.2
 """Time, s, after which a rank that breaks an unanswered run off is not the one that
 crashed: the others of its group wait that long for one that is lost."""
 SERVER_ERROR = 500
 """Statuses from here on are the target's own failures (RFC 9110, 15.6)."""
 
 
-class AttemptNotes:
+class AttemptRecorder:
     """
     Record how an attempt ended: at its target, its group and in the log.
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         rooms: GroupRooms,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         backoffs: TargetBackoffs,
         events: EventLog,
     ) -> None:
@@ -44,7 +44,7 @@
         self.crashes = crashes
         self.events = events
 
-    def note(
+    def record(
         self,
         request: DirectRequest,
         state: DirectTargetState,
@@ -60,23 +60,23 @@
         seconds = anyio.current_time() - began
         self._note_crash(request, state, outcome, began, unanswered)
         match outcome:
-            case StreamPassedOn():
+            case StreamRelayed():
                 answer = _describe_stream(request, outcome)
                 self._note_served(request, state, answer, seconds)
-            case TargetAnswer(status=status) if status < SERVER_ERROR:
+            case TargetResponse(status=status) if status < SERVER_ERROR:
                 self._note_served(request, state, str(status), seconds)
-            case TargetAnswer(status=status) if self._backing_off(state, status):
+            case TargetResponse(status=status) if self._backing_off(state, status):
                 self._note_attempt_failed(
                     request, state, "the target requested a backoff"
                 )
-            case TargetAnswer(status=status):
+            case TargetResponse(status=status):
                 self._note_failed(request, state, f"the target answered {status}")
-            case ProvedNotRun(written=False, error=error) | MayHaveRun(error=error):
+            case NotRun(written=False, error=error) | OutcomeUnknown(error=error):
                 self._note_failed(request, state, error.detail)
-            case LeftSlowRank(factor=factor):
+            case RankTooSlow(factor=factor):
                 reason = f"{factor:.1f} times slower, going on elsewhere"
                 self.events.add("attempt-moved", state.target.name, reason, request.id)
-            case ProvedNotRun():
+            case NotRun():
                 self._note_refused(request, state, outcome)
 
     def _note_crash(
@@ -91,14 +91,16 @@
         now = anyio.current_time()
         name = state.target.name
         match outcome:
-            case StreamPassedOn() | TargetAnswer():
-                self.crashes.note_whole(request.digest, now)
+            case StreamRelayed() | TargetResponse():
+                self.crashes.note_complete_response(request.digest, now)
                 self.crashes.note_alive(name, began)
-            case ProvedNotRun(written=True, replaced=False, faulty=""):
+            case NotRun(written=True, replaced=False, faulty_rank=""):
                 self.crashes.note_alive(name, began)
-            case MayHaveRun(broken_off=True) if not self.rooms.book.is_leaving(state):
+            case OutcomeUnknown(connection_lost=True) if not self.rooms.book.is_leaving(
+                state
+            ):
                 in_group = request.service.engine is not None
-                stalled = in_group and now - began > STALL_SECONDS
+                stalled = in_group and now - began > GROUP_STALL_SECONDS
                 if unanswered and not stalled:
                     self.crashes.note_crash(request.digest, name, began, now)
 
@@ -134,19 +136,19 @@
             self.events.add("target-ejected", name, reason)
 
     def _note_refused(
-        self, request: DirectRequest, state: DirectTargetState, refusal: ProvedNotRun
+        self, request: DirectRequest, state: DirectTargetState, refusal: NotRun
     ) -> None:
         reason = refusal.error.detail
         self._note_attempt_failed(request, state, reason)
         state.replaced = state.replaced or refusal.replaced
-        if refusal.faulty:
+        if refusal.faulty_rank:
             group = self.rooms.roster.of(state.target)
-            self.rooms.note_refused(group, refusal.faulty)
+            self.rooms.note_refused(group, refusal.faulty_rank)
 
 
-def _describe_stream(request: DirectRequest, passed: StreamPassedOn) -> str:
+def _describe_stream(request: DirectRequest, passed: StreamRelayed) -> str:
     """Return what decides whether a stream was in time."""
-    if passed.first_at is None:
+    if passed.first_event_at is None:
         return "empty stream"
-    first = passed.first_at - request.arrived
+    first = passed.first_event_at - request.arrived
     return f"stream, first {first:.3f} s, pause {passed.longest_pause:.3f} s,"
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -17,10 +17,10 @@
 from briarthread_entry.direct.answer_relay import AnswerRelay, Fields
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    MayHaveRun,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    OutcomeUnknown,
+    StreamRelayed,
+    TargetResponse,
 )
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.event_reader import EventReader
@@ -69,11 +69,13 @@
                     self._note_head(state, response, sent)
                     return await self._read(request, response, relay)
         except NotWrittenError as error:
-            return ProvedNotRun(_failed(ErrorKind.NO_TARGET, error), written=False)
+            return NotRun(_failed(ErrorKind.NO_TARGET, error), written=False)
         except SpoiltAnswerError as error:
-            return MayHaveRun(_failed(ErrorKind.TARGET_FAILED, error))
+            return OutcomeUnknown(_failed(ErrorKind.TARGET_FAILED, error))
         except ChannelError as error:
-            return MayHaveRun(_failed(ErrorKind.TARGET_FAILED, error), broken_off=True)
+            return OutcomeUnknown(
+                _failed(ErrorKind.TARGET_FAILED, error), connection_lost=True
+            )
 
     async def _read(
         self, request: DirectRequest, response: ChannelResponse, relay: AnswerRelay
@@ -84,18 +86,18 @@
             await read_bounded(response.body, MAX_ANSWER_BYTES)
             faulty = headers.get(names.faulty_target, "")
             kind = ErrorKind.GROUP_BROKEN if faulty else ErrorKind.OVERLOADED
-            return ProvedNotRun(
+            return NotRun(
                 RequestError(kind, f"the target refused: {response.status} {faulty}"),
                 replaced=response.status == REPLACED,
-                faulty=faulty,
+                faulty_rank=faulty,
             )
         self._check_answer(response)
         passed_on = tuple(f for f in response.fields if f[0] not in DROPPED_BACK)
         if request.route.kind is CallKind.STREAM and response.status == STREAM_STATUS:
             await self._pass_stream(response, passed_on, relay)
-            return StreamPassedOn(relay.first_at, relay.longest_pause)
+            return StreamRelayed(relay.first_at, relay.longest_pause)
         body = await read_bounded(response.body, MAX_ANSWER_BYTES)
-        return TargetAnswer(response.status, passed_on, body)
+        return TargetResponse(response.status, passed_on, body)
 
     def _check_whose(self, request: DirectRequest, response: ChannelResponse) -> None:
         """Raise SpoiltAnswerError for an answer that is not to this request."""
@@ -111,9 +113,9 @@
         name = state.target.name
         now = anyio.current_time()
         named = [raw for field, raw in response.fields if field == self.names.limit]
-        self.limits.note_answer(name, ",".join(named) if named else None, sent, now)
+        self.limits.note_response(name, ",".join(named) if named else None, sent, now)
         notice = read_notice(response, self.names.leaving)
-        self.backoffs.note_answer(name, notice, now)
+        self.backoffs.note_response(name, notice, now)
         if notice.leaving:
             self.leaving_targets.note_leaving(name)
 
--- a/packages/entry/src/briarthread_entry/direct/choose_target.py
+++ b/packages/entry/src/briarthread_entry/direct/choose_target.py
@@ -12,12 +12,12 @@
 
 from briarthread_entry.direct.target_state import DirectTargetState
 
-Elsewhere = Callable[[str], int]
+RunningElsewhere = Callable[[str], int]
 """Gives, for a target's name, the attempts that other entries have there."""
-FAR_PENALTY = 1.3
+REMOTE_PENALTY = 1.3
 """Factor on the expected time in another data centre. Traffic between data
 centres is paid for, so it takes a clear gain to go there."""
-SAME = 1e-9
+COST_TOLERANCE_SECONDS = 1e-9
 SLOW_FACTOR = 1.5
 """How many times longer than the fastest rank one may take to be used: under
 that, leaving it out costs more slots than it saves in the length of passes."""
@@ -39,7 +39,7 @@
 
 def choose_rank(
     states: Sequence[DirectTargetState],
-    elsewhere: Elsewhere,
+    elsewhere: RunningElsewhere,
     home: Mapping[str, int],
     now: float,
     rng: random.Random,
@@ -47,12 +47,12 @@
     """
     Return the rank that a request goes to.
 
-    ``home`` gives the slots that are this entry's own, see HomeSlots. One of
+    ``home`` gives the slots that are this entry's own, see AssignedSlots. One of
     those is taken where one is free; else a rank by chance, the likelier the more
     slots it has free, since others choose at the same time and know no more; and
     where all are full the one with the least running.
     """
-    usable = usable_first(states, now)
+    usable = without_ejected(states, now)
     if not usable:
         return None
     running = {s.target.name: s.running + elsewhere(s.target.name) for s in usable}
@@ -71,29 +71,33 @@
 
 def choose_plain(
     states: Sequence[DirectTargetState],
-    elsewhere: Elsewhere,
+    elsewhere: RunningElsewhere,
     data_centre: str,
     now: float,
     rng: random.Random,
 ) -> DirectTargetState | None:
     """Return the target where a call is expected to take the least time."""
-    usable = usable_first(states, now)
+    usable = without_ejected(states, now)
     if not usable:
         return None
 
     def cost(state: DirectTargetState) -> float:
         near = state.target.data_centre == data_centre
         expected = state.cost(elsewhere(state.target.name))
-        return expected * (1.0 if near else FAR_PENALTY)
+        return expected * (1.0 if near else REMOTE_PENALTY)
 
     costs = [cost(state) for state in usable]
     least = min(costs)
     return rng.choice(
-        [s for s, c in zip(usable, costs, strict=True) if c <= least + SAME]
+        [
+            s
+            for s, c in zip(usable, costs, strict=True)
+            if c <= least + COST_TOLERANCE_SECONDS
+        ]
     )
 
 
-def usable_first(
+def without_ejected(
     states: Sequence[DirectTargetState], now: float
 ) -> list[DirectTargetState]:
     """Return the targets not ejected, or where all are, all of them."""
--- a/packages/entry/src/briarthread_entry/direct/crash_rule.py
+++ b/packages/entry/src/briarthread_entry/direct/crash_rule.py
@@ -16,13 +16,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 """Crashes that one request may cause, over all entries."""
-LAST_REPEATED = 1
+MAX_RETRIED_CRASHES = 1
 """Crashes up to which an entry sends a request on by itself. Most suspects are
 bystanders, which the next run clears; a second crash makes it likely enough that the
 caller has to ask again."""
-SLACK_SECONDS = 0.02
+TIME_TOLERANCE_SECONDS = 0.02
 """By how much times told by two entries may differ."""
 
 
@@ -35,19 +35,23 @@
     ended: float
 
 
-def counted(strikes: Iterable[Strike]) -> int:
+def count_sequential_crashes(strikes: Iterable[Strike]) -> int:
     """
     Return how many crashes one after the other a request was part of.
 
-    >>> counted([Strike("a", 1.0, 1.1), Strike("b", 1.0, 1.1), Strike("c", 1.0, 1.2)])
+    >>> count_sequential_crashes(
+    ...     [Strike("a", 1.0, 1.1), Strike("b", 1.0, 1.1), Strike("c", 1.0, 1.2)]
+    ... )
     1
-    >>> counted([Strike("a", 1.0, 1.1), Strike("b", 1.1, 1.3), Strike("c", 2.0, 2.1)])
+    >>> count_sequential_crashes(
+    ...     [Strike("a", 1.0, 1.1), Strike("b", 1.1, 1.3), Strike("c", 2.0, 2.1)]
+    ... )
     3
     """
     number = 0
     last = float("-inf")
     for strike in sorted(strikes, key=lambda strike: strike.ended):
-        if strike.began >= last - SLACK_SECONDS:
+        if strike.began >= last - TIME_TOLERANCE_SECONDS:
             number += 1
             last = strike.ended
     return number
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -23,14 +23,14 @@
 from briarthread_common.spread.list_itself import list_itself
 from briarthread_common.spread.spreader import EXCHANGE_PATH
 from briarthread_common.utils.clock import Clock
+from briarthread_entry.direct.assigned_slots import AssignedSlots
 from briarthread_entry.direct.attempt_sender import AttemptSender
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.group_board import GroupBoard
 from briarthread_entry.direct.group_gate import GroupGate
 from briarthread_entry.direct.group_rooms import GroupRooms
 from briarthread_entry.direct.group_roster import GroupRoster
 from briarthread_entry.direct.group_watcher import GroupWatcher
-from briarthread_entry.direct.home_slots import HomeSlots
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.limit_tokens import LimitTokens
 from briarthread_entry.direct.read_request import RequestReader
@@ -43,9 +43,9 @@
 from briarthread_entry.direct.shared_retry_budget import SharedRetryBudget
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
-from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_chooser import TargetChooser
 from briarthread_entry.direct.target_limits import TargetLimits
+from briarthread_entry.direct.target_registry import TargetRegistry
 
 
 class DirectEntry:
@@ -80,12 +80,12 @@
         self.routes = RouteView(self.feeds.routes, adapter)
         self.limits = TargetLimits()
         self.backoffs = TargetBackoffs(self.metrics, rng)
-        self.crashes = CrashBook(self._note_crash_decision)
+        self.crashes = CrashTracker(self._note_crash_decision)
         self.leaving_targets = LeavingTargets()
-        self.book = TargetBook(
+        self.book = TargetRegistry(
             self.feeds.targets, adapter, self.spreader.well_since, self.leaving_targets
         )
-        self.book.on_gone = self._forget
+        self.book.on_removed = self._forget
         self.board = RunningBoard(self.limits, self.crashes, self.leaving_targets)
         self.groups = GroupBoard()
         self.roster = GroupRoster(self.directory)
@@ -116,7 +116,7 @@
             settings.name,
             self.directory,
             self.limits,
-            self.book.target,
+            self.book.find,
             peer_channel,
             self.metrics,
         )
@@ -127,7 +127,7 @@
                 self.board,
                 self.rooms,
                 self.slow_ranks,
-                HomeSlots(settings.name, self.directory),
+                AssignedSlots(settings.name, self.directory),
                 self.tokens,
                 self.backoffs,
                 self.crashes,
@@ -202,9 +202,9 @@
 
     def _forget(self) -> None:
         """Forget the limits and announced shutdowns of targets that are gone."""
-        self.limits.keep(self.book.states)
-        self.tokens.keep(self.book.states)
-        self.leaving_targets.keep(self.book.states)
+        self.limits.retain(self.book.states)
+        self.tokens.retain(self.book.states)
+        self.leaving_targets.retain(self.book.states)
 
     async def _list_itself(self) -> None:
         await self.spreader.started.wait()
@@ -220,7 +220,7 @@
         """Return what other entries are told of what runs here."""
         report = self.gate.report()
         now = anyio.current_time()
-        words, crashes = self.limits.words(now), self.crashes.words(now)
+        words, crashes = self.limits.report(now), self.crashes.report(now)
         leaving = self.leaving_targets.own_names()
         backoffs = self.backoffs.seconds_left(now)
         if not words and not crashes and not leaving and not backoffs:
@@ -259,7 +259,7 @@
                 if known.per_second is not None
             },
             "backoff_seconds": self.backoffs.seconds_left(now),
-            "shut_out": sorted(self.crashes.out),
+            "shut_out": sorted(self.crashes.blocked),
             "groups": {
                 str(group): {"serving": not health.broken}
                 for group, health in self.rooms.healths.items()
--- a/packages/entry/src/briarthread_entry/direct/final_error.py
+++ b/packages/entry/src/briarthread_entry/direct/final_error.py
@@ -8,9 +8,9 @@
 from briarthread_entry.direct.admission_rule import return_after, return_when_open
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    MayHaveRun,
-    ProvedNotRun,
+    NotRun,
+    OutcomeUnknown,
+    RankTooSlow,
 )
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
@@ -31,14 +31,14 @@
     to 1 spreads the returns of those who are told to come back. ``closed`` is set if
     none of the remaining targets accepts a request.
 
-    >>> failed = MayHaveRun(RequestError(ErrorKind.TARGET_FAILED, "reset"))
-    >>> refused = ProvedNotRun(RequestError(ErrorKind.OVERLOADED, "full"))
+    >>> failed = OutcomeUnknown(RequestError(ErrorKind.TARGET_FAILED, "reset"))
+    >>> refused = NotRun(RequestError(ErrorKind.OVERLOADED, "full"))
     >>> final_error([refused], 6.0, 1.0).retry_after
     2.0
     >>> final_error([failed, refused], 6.0, 1.0).outcome
     <Outcome.UNKNOWN: 'unknown'>
     """
-    certain = all(isinstance(failure, ProvedNotRun) for failure in failures)
+    certain = all(isinstance(failure, NotRun) for failure in failures)
     if closed is not None and certain:
         pause = return_when_open(caller_left, closed.opens_in, pick)
         return RequestError(closed.kind, str(closed), retry_after=pause)
@@ -48,7 +48,7 @@
             ErrorKind.NO_TARGET, "no target is listed", retry_after=pause
         )
     last = failures[-1]
-    if isinstance(last, ProvedNotRun) and certain:
+    if isinstance(last, NotRun) and certain:
         pause = return_after(last.error.kind, caller_left, pick)
         return RequestError(last.error.kind, last.error.detail, retry_after=pause)
     return RequestError(
@@ -59,9 +59,9 @@
 def repeat_reason(outcome: DirectOutcome) -> str:
     """Return under which reason a repeat after an outcome is counted."""
     match outcome:
-        case ProvedNotRun(error=error) | MayHaveRun(error=error):
+        case NotRun(error=error) | OutcomeUnknown(error=error):
             return str(error.kind)
-        case LeftSlowRank():
+        case RankTooSlow():
             return SLOW_RANK
         case _:
             return str(ErrorKind.TARGET_FAILED)
@@ -69,9 +69,9 @@
 
 def _describe(outcome: DirectOutcome) -> str:
     match outcome:
-        case ProvedNotRun(error=error) | MayHaveRun(error=error):
+        case NotRun(error=error) | OutcomeUnknown(error=error):
             return error.detail
-        case LeftSlowRank():
+        case RankTooSlow():
             return "no other rank took over from a slow one"
         case _:
             return "the target answered with a failure"
--- a/packages/entry/src/briarthread_entry/direct/group_gate.py
+++ b/packages/entry/src/briarthread_entry/direct/group_gate.py
@@ -15,9 +15,9 @@
     Start,
     decide,
 )
+from briarthread_entry.direct.client_retry_detector import ClientRetryDetector
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.group_rooms import GroupRooms, Rooms, joined, open_of
-from briarthread_entry.direct.return_detector import ReturnDetector
 from briarthread_entry.direct.waiting_place import WaitingPlace
 
 LOOK_SECONDS = 0.02
@@ -43,7 +43,7 @@
     def __init__(self, rooms: GroupRooms, rng: random.Random) -> None:
         self.rooms = rooms
         self.rng = rng
-        self.returns = ReturnDetector()
+        self.returns = ClientRetryDetector()
         self.waiting: list[WaitingPlace] = []
 
     def report(self) -> RunningReport:
@@ -65,7 +65,7 @@
 
     async def enter(self, request: DirectRequest) -> set[GroupId]:
         """Return to which groups the request may go now, or raise RequestError."""
-        returning = self.returns.is_return(request.route.name, request.patience)
+        returning = self.returns.is_client_retry(request.route.name, request.patience)
         place = WaitingPlace(
             returning,
             request.priority,
--- a/packages/entry/src/briarthread_entry/direct/group_rooms.py
+++ b/packages/entry/src/briarthread_entry/direct/group_rooms.py
@@ -24,8 +24,8 @@
 from briarthread_entry.direct.running_board import RunningBoard
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
-from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_limits import TargetLimits
+from briarthread_entry.direct.target_registry import TargetRegistry
 from briarthread_entry.direct.target_state import DirectTargetState
 
 FLOWING_SECONDS = 0.4
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        book: TargetRegistry,
         board: RunningBoard,
         roster: GroupRoster,
         slow_ranks: SlowRanks,
@@ -140,9 +140,9 @@
         in backoff gets nothing beyond what it runs, one in slow start a few more.
         """
         slots = state.target.slots
-        limit = self.limits.of(state.target.name)
-        if limit is not None and state.seconds.samples:
-            slots = min(math.ceil(limit * state.seconds.value), slots)
+        limit = self.limits.limit_of(state.target.name)
+        if limit is not None and state.response_seconds.samples:
+            slots = min(math.ceil(limit * state.response_seconds.value), slots)
         free = self.backoffs.free_attempts(state.target.name, now)
         if free is None:
             return slots
@@ -168,7 +168,7 @@
     def _ranks(self, group: GroupId, now: float) -> list[DirectTargetState]:
         return [
             state
-            for state in self.book.of_service(group.service, now)
+            for state in self.book.available_targets(group.service, now)
             if self.roster.of(state.target) == group
         ]
 
--- a/packages/entry/src/briarthread_entry/direct/dealer_order.py
+++ b/packages/entry/src/briarthread_entry/direct/issuer_order.py
@@ -13,11 +13,11 @@
 from briarthread_common.messages.instance import Instance
 from briarthread_common.utils.hashing import rendezvous_order
 
-SECOND_PART = 0.5
+SECOND_ISSUER_SHARE = 0.5
 """Part of a limit that is dealt in the place of the first."""
 
 
-def dealers_of(target: DirectTarget, entries: Mapping[str, Instance]) -> list[str]:
+def issuers_of(target: DirectTarget, entries: Mapping[str, Instance]) -> list[str]:
     """
     Return the entries that deal a target's limit, in the order of asking.
 
@@ -25,24 +25,24 @@
     >>> rows = [("a", "x"), ("b", "y"), ("c", "y")]
     >>> known = {n: Instance(n, dc, "", InstanceRole.ENTRY) for n, dc in rows}
     >>> target = DirectTarget("t", "s", "", "y", 6, False)
-    >>> sorted(dealers_of(target, known))
+    >>> sorted(issuers_of(target, known))
     ['b', 'c']
     """
     near = [n for n, row in entries.items() if row.data_centre == target.data_centre]
     return rendezvous_order(target.name, near or entries)
 
 
-def dealt_part(dealer: str, order: list[str]) -> float:
+def issued_share(dealer: str, order: list[str]) -> float:
     """
     Return the part of a limit that an entry deals.
 
     All after the second share what is left of twice the limit.
 
-    >>> [dealt_part(name, ["a", "b", "c", "d"]) for name in "abcd"]
+    >>> [issued_share(name, ["a", "b", "c", "d"]) for name in "abcd"]
     [1.0, 0.5, 0.125, 0.125]
     """
     if order and dealer == order[0]:
         return 1.0
     if len(order) > 1 and dealer == order[1]:
-        return SECOND_PART
-    return SECOND_PART / max(len(order), 1)
+        return SECOND_ISSUER_SHARE
+    return SECOND_ISSUER_SHARE / max(len(order), 1)
--- a/packages/entry/src/briarthread_entry/direct/leaving_targets.py
+++ b/packages/entry/src/briarthread_entry/direct/leaving_targets.py
@@ -16,11 +16,11 @@
 
     >>> targets = LeavingTargets()
     >>> targets.note_leaving("t-1")
-    >>> targets.put("entry-2", ["t-2"])
+    >>> targets.set_reported("entry-2", ["t-2"])
     >>> targets.is_leaving("t-1"), targets.is_leaving("t-2"), targets.own_names()
     (True, True, ('t-1',))
     >>> targets.drop("entry-2")
-    >>> targets.keep([])
+    >>> targets.retain([])
     >>> targets.is_leaving("t-1"), targets.is_leaving("t-2")
     (False, False)
     """
@@ -35,7 +35,7 @@
             logger.info("targets: {} is leaving, according to its response", target)
             self.own.add(target)
 
-    def put(self, entry: str, targets: Iterable[str]) -> None:
+    def set_reported(self, entry: str, targets: Iterable[str]) -> None:
         """Replace what another entry reports."""
         reported = frozenset(targets)
         for target in sorted(reported - self.reported.get(entry, frozenset())):
@@ -59,6 +59,6 @@
         """Return the sorted names that this entry reports to others."""
         return tuple(sorted(self.own))
 
-    def keep(self, targets: Collection[str]) -> None:
+    def retain(self, targets: Collection[str]) -> None:
         """Forget this entry's own announcements from all targets but some."""
         self.own.intersection_update(targets)
--- a/packages/entry/src/briarthread_entry/direct/limit_tokens.py
+++ b/packages/entry/src/briarthread_entry/direct/limit_tokens.py
@@ -21,18 +21,18 @@
 )
 from briarthread_common.spread.directory import Directory
 from briarthread_common.utils.passed_over import PassedOver
-from briarthread_entry.direct.dealer_order import dealers_of, dealt_part
+from briarthread_entry.direct.issuer_order import issued_share, issuers_of
 from briarthread_entry.direct.target_limits import TargetLimits
-from briarthread_entry.direct.token_dealer import TokenDealer
+from briarthread_entry.direct.token_issuer import TokenIssuer
 
-ASK_SECONDS = 0.15
+TOKEN_TIMEOUT_SECONDS = 0.15
 """Longest wait for a dealer: many times what a call between entries takes, and short
 enough that the request can still be in time elsewhere."""
-LOST_SECONDS = 4.0
+SKIP_SECONDS = 4.0
 """How long a dealer that did not answer is passed over."""
-UNLISTED_SECONDS = 0.5
+UNKNOWN_TARGET_SECONDS = 0.5
 """Pause before a dealer is asked again that does not know the target yet."""
-MOST_DEALERS = 2
+MAX_ISSUERS_ASKED = 2
 """Dealers that are asked before an entry deals for itself."""
 
 FindTarget = Callable[[str], DirectTarget | None]
@@ -60,37 +60,37 @@
         self.find = find
         self.channel = channel
         self.metrics = metrics
-        self.dealer = TokenDealer()
-        self.lost = PassedOver(LOST_SECONDS)
+        self.issuer = TokenIssuer()
+        self.lost = PassedOver(SKIP_SECONDS)
         self.closed: dict[str, float] = {}
 
     def routes(self) -> list[Route]:
         """Return the route of those who ask."""
         return [json_route(TOKENS_PATH, TokenAsk, self._answer)]
 
-    def limited(self, target: str) -> bool:
+    def is_limited(self, target: str) -> bool:
         """Tell whether attempts at a target need a token."""
-        return self.limits.of(target) is not None
+        return self.limits.limit_of(target) is not None
 
     def opens_at(self, target: str, now: float) -> float:
         """Return from when on a token for a target may be asked for."""
-        if not self.limited(target):
+        if not self.is_limited(target):
             self.closed.pop(target, None)
         return self.closed.get(target, now)
 
-    def keep(self, targets: Container[str]) -> None:
+    def retain(self, targets: Container[str]) -> None:
         """Forget all targets but some."""
-        self.dealer.keep(targets)
+        self.issuer.retain(targets)
         for name in [name for name in self.closed if name not in targets]:
             del self.closed[name]
 
-    async def take(self, target: DirectTarget, wait: float) -> bool:
+    async def acquire(self, target: DirectTarget, wait: float) -> bool:
         """
         Take a token, waiting up to ``wait`` seconds for it.
 
         Where it is denied ``opens_at`` says when to ask again.
         """
-        word = self.limits.word(target.name, anyio.current_time())
+        word = self.limits.latest(target.name, anyio.current_time())
         if word is None or word.per_second is None:
             return True
         ask = TokenAsk(self.name, target.name, word, wait)
@@ -105,8 +105,8 @@
     async def _ask(self, target: DirectTarget, ask: TokenAsk) -> TokenAnswer:
         """Return the answer of the first dealer that gives one."""
         entries = self._entries()
-        order = dealers_of(target, entries)
-        for name in self.lost.others(order)[:MOST_DEALERS]:
+        order = issuers_of(target, entries)
+        for name in self.lost.others(order)[:MAX_ISSUERS_ASKED]:
             if name == self.name:
                 break
             answer = await self._call(entries[name], ask)
@@ -123,7 +123,7 @@
                 TOKENS_PATH,
                 ask,
                 TokenAnswer,
-                ASK_SECONDS,
+                TOKEN_TIMEOUT_SECONDS,
             )
         except ChannelError as error:
             logger.info(
@@ -138,17 +138,17 @@
         self._learn(ask.asker, ask.target, ask.word)
         target = self.find(ask.target)
         if target is None:
-            return TokenAnswer(False, UNLISTED_SECONDS)
-        return self._deal(ask, dealers_of(target, self._entries()))
+            return TokenAnswer(False, UNKNOWN_TARGET_SECONDS)
+        return self._deal(ask, issuers_of(target, self._entries()))
 
     def _deal(self, ask: TokenAsk, order: list[str]) -> TokenAnswer:
         """Deal as the entry that stands where this one does in an order of dealers."""
         now = anyio.current_time()
-        word = self.limits.word(ask.target, now)
+        word = self.limits.latest(ask.target, now)
         if word is None or word.per_second is None:
             return TokenAnswer(True, 0.0, word)
-        rate = word.per_second * dealt_part(self.name, order)
-        answer = self.dealer.deal(ask.asker, ask.target, rate, ask.wait, now)
+        rate = word.per_second * issued_share(self.name, order)
+        answer = self.issuer.issue(ask.asker, ask.target, rate, ask.wait, now)
         return TokenAnswer(answer.granted, answer.pause, word)
 
     def _entries(self) -> dict[str, Instance]:
@@ -156,7 +156,7 @@
 
     def _learn(self, source: str, target: str, word: LimitWord | None) -> None:
         if word is not None:
-            self.limits.put(source, {target: word}, anyio.current_time())
+            self.limits.merge(source, {target: word}, anyio.current_time())
 
 
 def _decision(answer: TokenAnswer) -> str:
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -13,17 +13,17 @@
 from briarthread_common.http.app import AnswerAborted
 from briarthread_common.http.call import Call
 from briarthread_entry.direct.answer_relay import AnswerRelay
-from briarthread_entry.direct.attempt_notes import SERVER_ERROR, AttemptNotes
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    RankTooSlow,
+    StreamRelayed,
+    TargetResponse,
 )
+from briarthread_entry.direct.attempt_recorder import SERVER_ERROR, AttemptRecorder
 from briarthread_entry.direct.attempt_sender import AttemptSender
-from briarthread_entry.direct.crash_book import CrashBook
-from briarthread_entry.direct.crash_rule import LAST_REPEATED, MOST_CRASHES
+from briarthread_entry.direct.crash_rule import MAX_CRASHES, MAX_RETRIED_CRASHES
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.final_error import final_error, repeat_reason
 from briarthread_entry.direct.group_gate import GroupGate
@@ -51,7 +51,7 @@
         self,
         chooser: TargetChooser,
         sender: AttemptSender,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         budget: SharedRetryBudget,
         gate: GroupGate,
         rooms: GroupRooms,
@@ -68,15 +68,15 @@
         self.rooms = rooms
         self.slow_ranks = slow_ranks
         self.metrics = metrics
-        self.notes = AttemptNotes(rooms, crashes, sender.backoffs, events)
+        self.notes = AttemptRecorder(rooms, crashes, sender.backoffs, events)
         self.rng = rng
 
     async def run(self, request: DirectRequest, call: Call) -> None:
         """Answer the caller, or raise the RequestError that it gets."""
-        if self.crashes.shut_out(request.digest, anyio.current_time()):
+        if self.crashes.is_blocked(request.digest, anyio.current_time()):
             raise RequestError(
                 ErrorKind.CRASHES_TARGETS,
-                f"request {request.digest} crashed {MOST_CRASHES} targets",
+                f"request {request.digest} crashed {MAX_CRASHES} targets",
             )
         relay = AnswerRelay(call, request.resumes_after)
         failures: list[DirectOutcome] = []
@@ -109,12 +109,12 @@
             leaves = self._may_leave(request, sent)
             outcome = await self._attempt(request, state, relay, leaves)
             match outcome:
-                case StreamPassedOn():
+                case StreamRelayed():
                     return
-                case TargetAnswer(status=status) if status < SERVER_ERROR:
+                case TargetResponse(status=status) if status < SERVER_ERROR:
                     await _reply(call, outcome)
                     return
-                case ProvedNotRun(written=False):
+                case NotRun(written=False):
                     pass
                 case _:
                     sent += 1
@@ -160,7 +160,7 @@
         started = anyio.current_time()
         group = self.rooms.roster.of(state.target)
         relay.begin_run(partial(self.rooms.note_event, request.service, group))
-        self.crashes.begin(request.digest, state.target.name)
+        self.crashes.note_start(request.digest, state.target.name)
         state.running += 1
         state.prompt_tokens += request.prompt_tokens
         try:
@@ -171,8 +171,8 @@
         finally:
             state.running -= 1
             state.prompt_tokens -= request.prompt_tokens
-            self.crashes.end(request.digest, state.target.name)
-        self.notes.note(request, state, outcome, started, relay.run_event_at is None)
+            self.crashes.note_end(request.digest, state.target.name)
+        self.notes.record(request, state, outcome, started, relay.run_event_at is None)
         return outcome
 
     def _may_leave(self, request: DirectRequest, sent: int) -> bool:
@@ -184,10 +184,10 @@
         self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
     ) -> DirectOutcome:
         """Send an attempt, and break it off when its rank turns slow."""
-        left: list[LeftSlowRank] = []
+        left: list[RankTooSlow] = []
 
         def leave(factor: float) -> None:
-            outcome = LeftSlowRank(factor)
+            outcome = RankTooSlow(factor)
             if self._spend_repeat(request, repeat_reason(outcome)):
                 left.append(outcome)
                 scope.cancel()
@@ -209,17 +209,17 @@
     ) -> bool:
         """Tell whether to try again; ``elsewhere`` says that another group can."""
         outcome = failures[-1]
-        if isinstance(outcome, LeftSlowRank):
+        if isinstance(outcome, RankTooSlow):
             return True
         if sent >= request.route.max_attempts or len(failures) >= UNWRITTEN_TRIES:
             return False
-        if self.crashes.count(request.digest) > LAST_REPEATED:
+        if self.crashes.crash_count(request.digest) > MAX_RETRIED_CRASHES:
             return False
-        if isinstance(outcome, ProvedNotRun) and outcome.faulty and not elsewhere:
+        if isinstance(outcome, NotRun) and outcome.faulty_rank and not elsewhere:
             return False
-        if isinstance(outcome, ProvedNotRun) and not outcome.written:
+        if isinstance(outcome, NotRun) and not outcome.written:
             return True
-        if not isinstance(outcome, ProvedNotRun) and not request.route.repeatable:
+        if not isinstance(outcome, NotRun) and not request.route.repeatable:
             return False
         return self._spend_repeat(request, repeat_reason(outcome))
 
@@ -235,7 +235,7 @@
         self, request: DirectRequest, call: Call, failures: list[DirectOutcome]
     ) -> None:
         last = failures[-1]
-        if isinstance(last, TargetAnswer) and not call.started:
+        if isinstance(last, TargetResponse) and not call.started:
             await _reply(call, last)
             return
         raise self._final(request, failures)
@@ -250,7 +250,7 @@
         return final_error(failures, left, self.rng.random(), closed)
 
 
-async def _reply(call: Call, answer: TargetAnswer) -> None:
+async def _reply(call: Call, answer: TargetResponse) -> None:
     if call.started:
         raise AnswerAborted("a stream cannot go on with a whole answer")
     await call.reply(answer.status, answer.body, answer.headers)
--- a/packages/entry/src/briarthread_entry/direct/running_board.py
+++ b/packages/entry/src/briarthread_entry/direct/running_board.py
@@ -14,7 +14,7 @@
     longest_backoffs,
     merge_names,
 )
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.target_limits import TargetLimits
 
@@ -65,11 +65,11 @@
     def __init__(
         self,
         limits: TargetLimits | None = None,
-        crashes: CrashBook | None = None,
+        crashes: CrashTracker | None = None,
         leaving_targets: LeavingTargets | None = None,
     ) -> None:
         self.limits = limits or TargetLimits()
-        self.crashes = crashes or CrashBook()
+        self.crashes = crashes or CrashTracker()
         self.leaving_targets = leaving_targets or LeavingTargets()
         self.heard: dict[str, _Heard] = {}
         self.totals: Counter[str] = Counter()
@@ -86,9 +86,9 @@
         """Take over a report, which counts for ``kept`` seconds without a newer one."""
         self._remove_report(entry)
         self.heard[entry] = _Heard(report, now, now + kept)
-        self.limits.put(entry, report.limits, now)
-        self.crashes.put(entry, report.crashes, now)
-        self.leaving_targets.put(entry, report.leaving)
+        self.limits.merge(entry, report.limits, now)
+        self.crashes.merge(entry, report.crashes, now)
+        self.leaving_targets.set_reported(entry, report.leaving)
         self._note_backoffs(report, now)
         self.totals.update(report.running)
 
--- a/packages/entry/src/briarthread_entry/direct/shared_retry_budget.py
+++ b/packages/entry/src/briarthread_entry/direct/shared_retry_budget.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MARGIN = 0.7
+USED_SHARE = 0.7
 """Part of the allowance that is used: entries count in windows of their own,
 and one that just started does not know yet how many others there are."""
 
@@ -43,7 +43,7 @@
         self.allowance = allowance
         self.entries = entries
         self.requests: dict[str, deque[float]] = {}
-        self.repeats: dict[str, deque[float]] = {}
+        self.retries: dict[str, deque[float]] = {}
 
     def note_request(self, service: str, now: float) -> None:
         """Count the first attempt of a request."""
@@ -52,9 +52,9 @@
     def spend(self, service: str, now: float) -> bool:
         """Take one repeat out; tell whether there was one."""
         requests = self._recent(self.requests, service, now)
-        repeats = self._recent(self.repeats, service, now)
+        repeats = self._recent(self.retries, service, now)
         reserve = self.allowance.reserve / max(self.entries(), 1)
-        allowed = MARGIN * (self.allowance.ratio * len(requests) + reserve)
+        allowed = USED_SHARE * (self.allowance.ratio * len(requests) + reserve)
         if len(repeats) + 1 > allowed:
             return False
         repeats.append(now)
--- a/packages/entry/src/briarthread_entry/direct/slow_ranks.py
+++ b/packages/entry/src/briarthread_entry/direct/slow_ranks.py
@@ -16,10 +16,10 @@
 from briarthread_entry.direct.choose_target import without_slow
 from briarthread_entry.direct.group_board import GroupBoard
 from briarthread_entry.direct.group_roster import GroupRoster
-from briarthread_entry.direct.target_book import TargetBook
+from briarthread_entry.direct.target_registry import TargetRegistry
 from briarthread_entry.direct.target_state import DirectTargetState
 
-LEAVE_FACTOR = 2.0
+MIN_MOVE_FACTOR = 2.0
 """How many times longer than usual a rank must take for streams to be taken
 from it: their prompts are read again elsewhere, about a pass of work."""
 
@@ -28,9 +28,9 @@
     """Tell which ranks new requests may go to, and when to leave one."""
 
     def __init__(
-        self, book: TargetBook, roster: GroupRoster, groups: GroupBoard
+        self, registry: TargetRegistry, roster: GroupRoster, groups: GroupBoard
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.roster = roster
         self.groups = groups
         self.attempts: set[_Watched] = set()
@@ -38,7 +38,7 @@
     def usable(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the ranks of a service that new requests may go to."""
         found: list[DirectTargetState] = []
-        by_group = self.roster.split(self.book.of_service(service, now))
+        by_group = self.roster.split(self.registry.available_targets(service, now))
         for group, states in by_group.items():
             found += self._usable_of(group, states, now)
         return found
@@ -85,7 +85,7 @@
         service, state = attempt.service, attempt.state
         group = self.roster.of(state.target)
         factor = self.groups.slowdown(group, state.target.address, now)
-        if factor < LEAVE_FACTOR or state in self.usable(service, now):
+        if factor < MIN_MOVE_FACTOR or state in self.usable(service, now):
             return None
         return factor
 
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -11,14 +11,14 @@
 from briarthread_common.direct.answer_notice import AnswerNotice
 from briarthread_common.utils.backoff import Backoff
 
-SPREAD_SHARE = 0.2
+JITTER_SHARE = 0.2
 """Maximum jitter as a fraction of the backoff, so that the entries that were refused
 together do not return together."""
-MAX_SPREAD = 2.0
+MAX_JITTER_SECONDS = 2.0
 """Upper bound of the jitter in seconds."""
 RECHECK_SECONDS = 0.05
 """Delay before a target with no free attempt in its slow start is checked again."""
-KEPT_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long the backoff of a target that gets no requests is kept after its end."""
 
 
@@ -31,8 +31,8 @@
     seconds on the event loop's clock.
 
     >>> backoffs = TargetBackoffs(Metrics(), random.Random(1))
-    >>> backoffs.note_answer("t-1", AnswerNotice(backoff=3.0), now=1.0)
-    >>> backoffs.note_answer("t-1", AnswerNotice(backoff=0.5), now=2.0)
+    >>> backoffs.note_response("t-1", AnswerNotice(backoff=3.0), now=1.0)
+    >>> backoffs.note_response("t-1", AnswerNotice(backoff=0.5), now=2.0)
     >>> backoffs.active("t-1", now=3.9), backoffs.active("t-1", now=4.0)
     (True, False)
     """
@@ -42,7 +42,7 @@
         self.rng = rng
         self.backoffs: dict[str, Backoff] = {}
 
-    def note_answer(self, target: str, notice: AnswerNotice, now: float) -> None:
+    def note_response(self, target: str, notice: AnswerNotice, now: float) -> None:
         """Record what the head of a response says."""
         if notice.backoff > 0:
             self._extend(target, notice.backoff, now)
@@ -97,12 +97,12 @@
         logger.info("backoffs: {} requested a backoff of {:g} s", target, seconds)
         self._drop_expired(now)
         until = now + seconds
-        spread = min(seconds * SPREAD_SHARE, MAX_SPREAD) * self.rng.random()
+        spread = min(seconds * JITTER_SHARE, MAX_JITTER_SECONDS) * self.rng.random()
         self.backoffs.setdefault(target, Backoff()).extend(until, until + spread)
 
     def _drop_expired(self, now: float) -> None:
         for name, backoff in list(self.backoffs.items()):
-            if backoff.opens_at + KEPT_SECONDS < now and not backoff.running:
+            if backoff.opens_at + RETENTION_SECONDS < now and not backoff.running:
                 del self.backoffs[name]
 
     def _note_early(self, target: str, backoff: Backoff) -> None:
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -6,24 +6,24 @@
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.direct.group_id import GroupId
+from briarthread_entry.direct.assigned_slots import AssignedSlots
 from briarthread_entry.direct.choose_target import choose_plain, choose_rank
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.group_gate import LONGEST_WAIT
 from briarthread_entry.direct.group_rooms import GroupRooms
-from briarthread_entry.direct.home_slots import HomeSlots
 from briarthread_entry.direct.limit_tokens import LimitTokens
 from briarthread_entry.direct.running_board import RunningBoard
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
-from briarthread_entry.direct.target_book import TargetBook
+from briarthread_entry.direct.target_registry import TargetRegistry
 from briarthread_entry.direct.target_state import DirectTargetState
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
-AIM_SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 """Part of the route's aim that a wait for a target whose limit is used up may take;
 the rest is for the answer."""
-MOST_ASKS = 3
+MAX_TOKEN_REQUESTS = 3
 """Targets whose limits are asked about for one attempt: each costs a call."""
 
 
@@ -39,22 +39,22 @@
     def __init__(
         self,
         data_centre: str,
-        book: TargetBook,
+        registry: TargetRegistry,
         board: RunningBoard,
         rooms: GroupRooms,
         slow_ranks: SlowRanks,
-        home: HomeSlots,
+        assigned_slots: AssignedSlots,
         tokens: LimitTokens,
         backoffs: TargetBackoffs,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         rng: random.Random,
     ) -> None:
         self.data_centre = data_centre
-        self.book = book
+        self.registry = registry
         self.board = board
         self.rooms = rooms
         self.slow_ranks = slow_ranks
-        self.home = home
+        self.assigned_slots = assigned_slots
         self.tokens = tokens
         self.backoffs = backoffs
         self.crashes = crashes
@@ -75,19 +75,23 @@
             states = self._candidates(request, tried, groups, now)
             if not states:
                 return None
-            wait_left = self._wait_until(request) - now if asks < MOST_ASKS else 0.0
-            open_states = self._open(states, asks < MOST_ASKS, now)
+            wait_left = (
+                self._wait_until(request) - now if asks < MAX_TOKEN_REQUESTS else 0.0
+            )
+            open_states = self._open(states, asks < MAX_TOKEN_REQUESTS, now)
             if not open_states:
                 await self._wait(states, now, wait_left)
                 continue
             candidates = self._preferred(self._apart(open_states), now)
             state = self._pick(request, candidates, now)
-            if state is None or not self.tokens.limited(state.target.name):
+            if state is None or not self.tokens.is_limited(state.target.name):
                 return state
             asks += 1
-            only = all(self.tokens.limited(s.target.name) for s in open_states)
+            only = all(self.tokens.is_limited(s.target.name) for s in open_states)
             wait = max(wait_left, 0.0) if only else 0.0
-            if await self.tokens.take(state.target, wait) and self._still_open(state):
+            if await self.tokens.acquire(state.target, wait) and self._still_open(
+                state
+            ):
                 return state
 
     def _open(
@@ -98,7 +102,7 @@
             state
             for state in states
             if self._opens_at(state, now) <= now
-            and (may_ask or not self.tokens.limited(state.target.name))
+            and (may_ask or not self.tokens.is_limited(state.target.name))
         ]
 
     def _preferred(
@@ -147,10 +151,10 @@
         """Return whether a target is listed and open after the wait for a token."""
         now = anyio.current_time()
         opens_at = self.backoffs.opens_at(state.target.name, now)
-        return self.book.accepts_requests(state) and opens_at <= now
+        return self.registry.accepts_requests(state) and opens_at <= now
 
     def _wait_until(self, request: DirectRequest) -> float:
-        aim = request.route.aim * AIM_SHARE
+        aim = request.route.aim * MAX_WAIT_SHARE
         return request.arrived + min(aim, LONGEST_WAIT)
 
     def _candidates(
@@ -162,7 +166,7 @@
     ) -> list[DirectTargetState]:
         service = request.service
         if service.engine is None:
-            states = self.book.of_service(service.name, now)
+            states = self.registry.available_targets(service.name, now)
         else:
             states = self.slow_ranks.usable(service.name, now)
         untried = [state for state in states if state.target.name not in tried]
@@ -178,8 +182,8 @@
 
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
-        listed = self.book.of_service(service, now)
-        home = self.home.of(service, [state.target for state in listed])
+        listed = self.registry.available_targets(service, now)
+        home = self.assigned_slots.of(service, [state.target for state in listed])
         return choose_rank(states, elsewhere, home, now, self.rng)
 
     def _apart(self, states: list[DirectTargetState]) -> list[DirectTargetState]:
@@ -188,7 +192,7 @@
 
         The next crash then names it, and takes as few others with it as can be.
         """
-        avoided = self.crashes.avoided()
+        avoided = self.crashes.suspect_targets()
         if not avoided:
             return states
         return [s for s in states if s.target.name not in avoided] or states
--- a/packages/entry/src/briarthread_entry/direct/target_limits.py
+++ b/packages/entry/src/briarthread_entry/direct/target_limits.py
@@ -9,7 +9,7 @@
 from briarthread_common.direct.read_limit import read_limit
 from briarthread_common.messages.limit_word import LimitWord
 
-ENDED_SECONDS = 10.0
+ENDED_REPORT_SECONDS = 10.0
 """How long others are told that a limit has ended: all of them hear of it within
 one second, and one that was cut off for longer learns it from its own answers."""
 
@@ -32,12 +32,12 @@
     came back by way of others would look newer each time.
 
     >>> limits = TargetLimits()
-    >>> limits.note_answer("t-1", "2", sent=1.0, now=1.2)
-    >>> limits.note_answer("t-1", None, sent=1.1, now=1.3)
-    >>> limits.of("t-1")
+    >>> limits.note_response("t-1", "2", sent=1.0, now=1.2)
+    >>> limits.note_response("t-1", None, sent=1.1, now=1.3)
+    >>> limits.limit_of("t-1")
     2.0
-    >>> limits.note_answer("t-1", None, sent=1.4, now=1.5)
-    >>> limits.of("t-1") is None
+    >>> limits.note_response("t-1", None, sent=1.4, now=1.5)
+    >>> limits.limit_of("t-1") is None
     True
     """
 
@@ -45,16 +45,16 @@
         self.known: dict[str, KnownLimit] = {}
         self.own: dict[str, KnownLimit] = {}
 
-    def of(self, target: str) -> float | None:
+    def limit_of(self, target: str) -> float | None:
         """Return how many requests a second a target takes, ``None`` for any."""
         known = self.known.get(target)
         return None if known is None else known.per_second
 
-    def note_answer(
+    def note_response(
         self, target: str, raw: str | None, sent: float, now: float
     ) -> None:
         """Record what an answer, which came now, says of its target's limit."""
-        if raw is None and self.of(target) is None:
+        if raw is None and self.limit_of(target) is None:
             return
         try:
             limit = read_limit(raw)
@@ -65,25 +65,25 @@
         if self._take_over(target, word, "its answer"):
             self.own[target] = word
 
-    def put(self, source: str, words: Mapping[str, LimitWord], now: float) -> None:
+    def merge(self, source: str, words: Mapping[str, LimitWord], now: float) -> None:
         """Take over what another entry heard."""
         for target, word in words.items():
             self._take_over(target, KnownLimit(word.per_second, now - word.age), source)
 
-    def words(self, now: float) -> dict[str, LimitWord]:
+    def report(self, now: float) -> dict[str, LimitWord]:
         """Return what other entries are told."""
         return {
             target: LimitWord(own.per_second, round(now - own.at, 3))
             for target, own in self.own.items()
-            if own.per_second is not None or now - own.at < ENDED_SECONDS
+            if own.per_second is not None or now - own.at < ENDED_REPORT_SECONDS
         }
 
-    def word(self, target: str, now: float) -> LimitWord | None:
+    def latest(self, target: str, now: float) -> LimitWord | None:
         """Return the newest word on one target."""
         known = self.known.get(target)
         return known and LimitWord(known.per_second, now - known.at)
 
-    def keep(self, targets: Container[str]) -> None:
+    def retain(self, targets: Container[str]) -> None:
         """Forget all targets but some."""
         for kept in (self.known, self.own):
             for target in [name for name in kept if name not in targets]:
--- a/packages/entry/src/briarthread_entry/direct/target_book.py
+++ b/packages/entry/src/briarthread_entry/direct/target_registry.py
@@ -12,18 +12,18 @@
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.target_state import DirectTargetState
 
-RETURN_SECONDS = 2.0
+RELIST_SECONDS = 2.0
 """How long after the platform's return an entry that lapsed meanwhile may
 still come back; its page on the list of workers says about two seconds."""
 
 
-class TargetBook:
+class TargetRegistry:
     """
     Keep a state for each target of the feed.
 
     Entries lapse while the platform is away though their targets live on. So
     one that vanishes while it is away, or soon after, stays in use until the
-    time for its return is over. ``on_gone`` is called when some are forgotten.
+    time for its return is over. ``on_removed`` is called when some are forgotten.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.number = -1
         self.raw: dict[str, str] = {}
         self.states: dict[str, DirectTargetState] = {}
-        self.on_gone: Callable[[], None] = _ignore
+        self.on_removed: Callable[[], None] = _ignore
 
     async def follow(self) -> None:
         """Take over each version as it comes, not only when a request asks."""
@@ -49,7 +49,7 @@
             self.refresh(anyio.current_time())
             await self.feed.wait_beyond(number)
 
-    def of_service(self, service: str, now: float) -> list[DirectTargetState]:
+    def available_targets(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the targets of a service that new work may be sent to."""
         self.refresh(now)
         return [
@@ -60,7 +60,7 @@
 
     def accepts_requests(self, state: DirectTargetState) -> bool:
         """Return whether new requests may be sent to a target."""
-        return state.listed() and not self.is_leaving(state)
+        return state.is_usable() and not self.is_leaving(state)
 
     def is_leaving(self, state: DirectTargetState) -> bool:
         """Return whether a target is leaving, by the list or by its responses."""
@@ -87,9 +87,9 @@
             del self.states[name]
             self.raw.pop(name, None)
         if gone:
-            self.on_gone()
+            self.on_removed()
 
-    def target(self, name: str) -> DirectTarget | None:
+    def find(self, name: str) -> DirectTarget | None:
         """Return a target by its name, ``None`` for one that is not known."""
         state = self.states.get(name)
         return None if state is None else state.target
@@ -127,7 +127,7 @@
     def _kept_until(self, state: DirectTargetState) -> float:
         """Return when a target that left the list is to be taken for gone."""
         removed = state.removed_at or 0.0
-        returned = self.well_since() + RETURN_SECONDS
+        returned = self.well_since() + RELIST_SECONDS
         return returned if removed < returned else removed
 
 
--- a/packages/measure/src/briarthread_measure/choice_run.py
+++ b/packages/measure/src/briarthread_measure/choice_run.py
@@ -17,7 +17,7 @@
 
 from docopt import docopt
 
-from briarthread_entry.direct.choose_target import Elsewhere, choose_rank
+from briarthread_entry.direct.choose_target import RunningElsewhere, choose_rank
 from briarthread_entry.direct.target_state import DirectTargetState
 from briarthread_measure.drawn_arrivals import DrawnDay, DrawnLoad
 from briarthread_measure.ways_table import Play, print_ways
@@ -32,14 +32,14 @@
 
 
 def least_loaded(
-    states: States, elsewhere: Elsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
 ) -> DirectTargetState:
     """Choose among the ranks with the least running."""
     return rng.choice(_least(states, elsewhere))
 
 
 def own_among_least(
-    states: States, elsewhere: Elsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
 ) -> DirectTargetState:
     """Choose among the ranks with the least running, own slots first."""
     least = _least(states, elsewhere)
@@ -48,14 +48,14 @@
 
 
 def by_what_is_free(
-    states: States, elsewhere: Elsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
 ) -> DirectTargetState:
     """Choose by chance, weighed by what is free, as an entry without own slots."""
     return own_slots_first(states, elsewhere, {}, rng)
 
 
 def own_slots_first(
-    states: States, elsewhere: Elsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
 ) -> DirectTargetState:
     """Choose as an entry does."""
     found = choose_rank(states, elsewhere, home, 0.0, rng)
@@ -83,7 +83,7 @@
     print_ways("way", WAYS, LOADS, share_of, docopt(__doc__))
 
 
-def _least(states: States, elsewhere: Elsewhere) -> list[DirectTargetState]:
+def _least(states: States, elsewhere: RunningElsewhere) -> list[DirectTargetState]:
     loads = [state.running + elsewhere(state.target.name) for state in states]
     least = min(loads)
     return [s for s, load in zip(states, loads, strict=True) if load == least]
--- a/packages/measure/src/briarthread_measure/crash_ways_run.py
+++ b/packages/measure/src/briarthread_measure/crash_ways_run.py
@@ -21,7 +21,7 @@
 from docopt import docopt
 from loguru import logger
 
-from briarthread_entry.direct import crash_book
+from briarthread_entry.direct import crash_tracker
 from briarthread_entry.direct.crash_rule import Strike
 from briarthread_measure.ways_table import Play, print_ways
 from briarthread_standins.crash_day import PLAIN, CrashDay
@@ -45,9 +45,9 @@
     return len(list(strikes))
 
 
-BOOK = crash_book.CrashBook
-NOT_PROVEN = (BOOK, "note_whole", lambda book, digest, now: None)
-EVERY = (crash_book, "counted", every_strike)
+BOOK = crash_tracker.CrashTracker
+NOT_PROVEN = (BOOK, "note_complete_response", lambda book, digest, now: None)
+EVERY = (crash_tracker, "count_sequential_crashes", every_strike)
 WAYS: dict[str, tuple[tuple[object, str, object], ...]] = {
     "every strike counts": (EVERY, NOT_PROVEN),
     "one after the other only": (NOT_PROVEN,),
--- a/packages/measure/src/briarthread_measure/drawn_arrivals.py
+++ b/packages/measure/src/briarthread_measure/drawn_arrivals.py
@@ -8,8 +8,8 @@
 
 from briarthread_common.direct.direct_target import DirectTarget
 from briarthread_common.messages.instance import Instance, InstanceRole
-from briarthread_entry.direct.choose_target import Elsewhere
-from briarthread_entry.direct.home_slots import own_slots
+from briarthread_entry.direct.assigned_slots import assign_slots
+from briarthread_entry.direct.choose_target import RunningElsewhere
 from briarthread_entry.direct.target_state import DirectTargetState
 
 STREAM_SECONDS = 1.6
@@ -20,7 +20,7 @@
 """Spread of callers over entries, as the deviation of a log-normal weight."""
 
 Choice = Callable[
-    [Sequence[DirectTargetState], Elsewhere, Mapping[str, int], random.Random],
+    [Sequence[DirectTargetState], RunningElsewhere, Mapping[str, int], random.Random],
     DirectTargetState,
 ]
 """Takes an entry's states, what others have there and its own slots."""
@@ -68,7 +68,7 @@
             for n in range(load.entries)
         ]
         self.states = [[DirectTargetState(rank) for rank in ranks] for _ in rows]
-        self.home = [own_slots(row.name, rows, ranks) for row in rows]
+        self.home = [assign_slots(row.name, rows, ranks) for row in rows]
         self.running = [0] * load.ranks
         self.weights = [self.rng.lognormvariate(0, UNEVEN) for _ in rows]
 
--- a/packages/measure/src/briarthread_measure/left_out.py
+++ b/packages/measure/src/briarthread_measure/left_out.py
@@ -90,7 +90,7 @@
 
 def no_returns(entry: DirectEntry) -> None:
     """Tell nobody who came back from a new caller."""
-    entry.gate.returns.is_return = lambda route, time_left: False
+    entry.gate.returns.is_client_retry = lambda route, time_left: False
 
 
 def own_sums(entry: DirectEntry) -> None:
--- a/packages/measure/src/briarthread_measure/limit_ways.py
+++ b/packages/measure/src/briarthread_measure/limit_ways.py
@@ -20,7 +20,7 @@
 
 def no_limits(entry: DirectEntry) -> None:
     """Send as if no target named a limit."""
-    entry.tokens.limited = lambda target: False
+    entry.tokens.is_limited = lambda target: False
 
 
 def even_parts(entry: DirectEntry) -> None:
@@ -49,7 +49,7 @@
 
     async def take(target: DirectTarget, wait: float) -> bool:
         now = anyio.current_time()
-        rate = part(target, entry.limits.of(target.name) or 0.0)
+        rate = part(target, entry.limits.limit_of(target.name) or 0.0)
         if rate <= 0:
             entry.tokens.closed[target.name] = now + 1.0
             return False
@@ -59,7 +59,7 @@
             entry.tokens.closed[target.name] = now + pause
         return pause == 0
 
-    entry.tokens.take = take
+    entry.tokens.acquire = take
 
 
 WAYS: dict[str, Prepare] = {
--- a/packages/standins/src/briarthread_standins/play_crashes.py
+++ b/packages/standins/src/briarthread_standins/play_crashes.py
@@ -85,7 +85,7 @@
                 kept = self.tally.alike if alike else self.tally.statuses
                 callers.start_soon(self._ask, body, kept, 1)
         books = [entry.crashes for entry in self.world.entries.values()]
-        self.tally.shut_out = len({digest for book in books for digest in book.out})
+        self.tally.shut_out = len({digest for book in books for digest in book.blocked})
 
     def _now(self) -> float:
         return anyio.current_time() - self.start
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -7,7 +7,7 @@
 from direct_builders import in_direct_world
 
 from briarthread_common.messages.crash_words import CrashWords
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.request_digest import request_digest
 from briarthread_standins.crash_day import CRASHING, PLAIN, CrashDay
 from briarthread_standins.direct_world import DirectWorld
@@ -60,7 +60,7 @@
     assert tally.shut_out == 0
 
 
-def struck(book: CrashBook, digest: str, now: float) -> None:
+def struck(book: CrashTracker, digest: str, now: float) -> None:
     """Let a request crash three targets one after the other."""
     for number in range(3):
         at = now - 6.0 + 2.0 * number
@@ -78,93 +78,93 @@
         now = anyio.current_time()
         struck(world.entries["entry-1"].crashes, "d", now)
         await anyio.sleep(1.0)
-        assert all(entry.crashes.out for entry in world.entries.values())
+        assert all(entry.crashes.blocked for entry in world.entries.values())
         world.kill_entry("entry-1")
         world.kill_entry("entry-2")
         await anyio.sleep(1)
         again = world.add_entry("entry-2", "catania")
         await anyio.sleep(2)
-        assert again.crashes.shut_out("d", anyio.current_time())
+        assert again.crashes.is_blocked("d", anyio.current_time())
 
     in_direct_world(scenario, names, data_centres=CENTRES[:centres])
 
 
 def test_request_that_is_answered_whole_is_cleared_everywhere() -> None:
-    here, there = CrashBook(), CrashBook()
+    here, there = CrashTracker(), CrashTracker()
     struck(here, "d", now=10.0)
-    there.put("entry-1", here.words(10.0), 10.0)
-    assert there.shut_out("d", 10.0)
-    there.note_whole("d", 11.0)
-    here.put("entry-2", there.words(11.5), 11.5)
-    assert not here.shut_out("d", 11.5)
+    there.merge("entry-1", here.report(10.0), 10.0)
+    assert there.is_blocked("d", 10.0)
+    there.note_complete_response("d", 11.0)
+    here.merge("entry-2", there.report(11.5), 11.5)
+    assert not here.is_blocked("d", 11.5)
     here.note_crash("d", "target-9", 12.0, 12.1)
-    assert here.count("d") == 0
+    assert here.crash_count("d") == 0
 
 
 def test_target_that_answers_again_at_once_did_not_crash() -> None:
-    book = CrashBook()
+    book = CrashTracker()
     book.note_crash("d", "target-1", 1.0, 1.1)
-    assert book.count("d") == 1
+    assert book.crash_count("d") == 1
     book.note_alive("target-1", sent=1.0)
-    assert book.count("d") == 1
+    assert book.crash_count("d") == 1
     book.note_alive("target-1", sent=1.3)
-    assert book.count("d") == 0
+    assert book.crash_count("d") == 0
 
 
 def test_targets_that_break_off_together_count_as_one_crash() -> None:
-    book = CrashBook()
+    book = CrashTracker()
     for number in range(4):
         book.note_crash("d", f"target-{number}", 1.0, 1.1 + number / 100)
-    assert book.count("d") == 1
+    assert book.crash_count("d") == 1
 
 
 def test_one_crash_counts_once_whoever_saw_it() -> None:
-    here, there = CrashBook(), CrashBook()
+    here, there = CrashTracker(), CrashTracker()
     here.note_crash("d", "target-1", 1.0, 1.1)
     there.note_crash("d", "target-1", 1.05, 1.12)
-    there.put("entry-1", here.words(2.5), 2.5)
-    assert there.count("d") == 1
+    there.merge("entry-1", here.report(2.5), 2.5)
+    assert there.crash_count("d") == 1
 
 
 def test_nobody_else_hears_of_a_crash_that_was_none() -> None:
-    here, there = CrashBook(), CrashBook()
+    here, there = CrashTracker(), CrashTracker()
     here.note_crash("d", "target-1", 1.0, 1.1)
-    there.put("entry-1", here.words(1.2), 1.2)
+    there.merge("entry-1", here.report(1.2), 1.2)
     here.note_alive("target-1", sent=1.3)
-    there.put("entry-1", here.words(2.5), 2.5)
-    assert there.count("d") == 0
+    there.merge("entry-1", here.report(2.5), 2.5)
+    assert there.crash_count("d") == 0
 
 
 def test_request_that_was_answered_long_ago_can_be_shut_out() -> None:
-    book = CrashBook()
-    book.note_whole("d", 1.0)
-    book.put("entry-1", CrashWords(shut_out={"d": 0.5}), 10.0)
-    assert not book.shut_out("d", 10.0)
-    book.put("entry-1", CrashWords(shut_out={"d": 0.5}), 100.0)
-    assert book.shut_out("d", 100.0)
+    book = CrashTracker()
+    book.note_complete_response("d", 1.0)
+    book.merge("entry-1", CrashWords(shut_out={"d": 0.5}), 10.0)
+    assert not book.is_blocked("d", 10.0)
+    book.merge("entry-1", CrashWords(shut_out={"d": 0.5}), 100.0)
+    assert book.is_blocked("d", 100.0)
 
 
 def test_request_that_is_not_asked_any_more_is_forgotten() -> None:
-    book = CrashBook()
+    book = CrashTracker()
     struck(book, "d", now=10.0)
-    assert book.shut_out("d", 100.0)
-    book.words(200.0)
-    assert book.shut_out("d", 200.0)
-    book.words(400.0)
-    assert not book.shut_out("d", 400.0)
+    assert book.is_blocked("d", 100.0)
+    book.report(200.0)
+    assert book.is_blocked("d", 200.0)
+    book.report(400.0)
+    assert not book.is_blocked("d", 400.0)
 
 
 def test_what_is_remembered_is_bounded() -> None:
-    book = CrashBook()
+    book = CrashTracker()
     for number in range(6000):
-        book.note_whole(f"whole-{number}", float(number))
+        book.note_complete_response(f"whole-{number}", float(number))
         book.note_crash(f"d-{number}", "target-1", number + 0.5, number + 0.6)
     for number in range(6000):
         words = CrashWords(cleared={f"elsewhere-{number}": 0.0})
-        book.put("entry-1", words, 6000.0)
-    assert len(book.proven) <= 4096
+        book.merge("entry-1", words, 6000.0)
+    assert len(book.harmless) <= 4096
     assert len(book.strikes) <= 512
-    assert len(book.words(6001.0).strikes) <= 64
+    assert len(book.report(6001.0).strikes) <= 64
 
 
 @pytest.mark.parametrize(
--- a/tests/direct/test_running_reports.py
+++ b/tests/direct/test_running_reports.py
@@ -16,7 +16,7 @@
     """Return how many streams an entry takes to be running over all entries."""
     entry = world.entries[name]
     now = anyio.current_time()
-    states = entry.book.of_service(MODEL, now)
+    states = entry.book.available_targets(MODEL, now)
     return sum(s.running + entry.board.elsewhere(s.target.name, now) for s in states)
 
 
--- a/tests/direct/test_target_limits.py
+++ b/tests/direct/test_target_limits.py
@@ -121,51 +121,51 @@
 
 def test_limit_is_known_to_an_entry_that_never_sent_there() -> None:
     limits, others = TargetLimits(), TargetLimits()
-    limits.note_answer("t", "2", sent=1.0, now=1.1)
-    others.put("entry-2", limits.words(now=1.5), now=7.5)
-    assert others.of("t") == 2.0
-    limits.note_answer("t", None, sent=2.0, now=2.1)
-    others.put("entry-2", limits.words(now=2.2), now=8.2)
-    assert others.of("t") is None
+    limits.note_response("t", "2", sent=1.0, now=1.1)
+    others.merge("entry-2", limits.report(now=1.5), now=7.5)
+    assert others.limit_of("t") == 2.0
+    limits.note_response("t", None, sent=2.0, now=2.1)
+    others.merge("entry-2", limits.report(now=2.2), now=8.2)
+    assert others.limit_of("t") is None
 
 
 def test_word_of_one_that_was_cut_off_does_not_bring_an_ended_limit_back() -> None:
     limits, cut_off = TargetLimits(), TargetLimits()
-    cut_off.note_answer("t", "2", sent=1.0, now=1.1)
-    limits.put("entry-2", cut_off.words(now=1.2), now=1.2)
-    limits.note_answer("t", None, sent=2.0, now=2.1)
-    limits.put("entry-2", cut_off.words(now=9.0), now=9.0)
-    assert limits.of("t") is None
+    cut_off.note_response("t", "2", sent=1.0, now=1.1)
+    limits.merge("entry-2", cut_off.report(now=1.2), now=1.2)
+    limits.note_response("t", None, sent=2.0, now=2.1)
+    limits.merge("entry-2", cut_off.report(now=9.0), now=9.0)
+    assert limits.limit_of("t") is None
 
 
 def test_answer_to_an_earlier_request_does_not_end_a_limit() -> None:
     limits = TargetLimits()
-    limits.note_answer("t", "2", sent=1.0, now=1.2)
-    limits.note_answer("t", None, sent=1.1, now=3.0)
-    assert limits.of("t") == 2.0
+    limits.note_response("t", "2", sent=1.0, now=1.2)
+    limits.note_response("t", None, sent=1.1, now=3.0)
+    assert limits.limit_of("t") == 2.0
 
 
 @pytest.mark.parametrize("raw", ["", "x", "0", "-1", "nan", "-inf", "1;2", "1,,2"])
 def test_limit_that_is_no_number_above_zero_changes_nothing(raw: str) -> None:
     limits = TargetLimits()
-    limits.note_answer("t", raw, sent=1.0, now=1.1)
-    assert limits.of("t") is None
-    limits.note_answer("t", "3", sent=2.0, now=2.1)
-    limits.note_answer("t", raw, sent=3.0, now=3.1)
-    assert limits.of("t") == 3.0
+    limits.note_response("t", raw, sent=1.0, now=1.1)
+    assert limits.limit_of("t") is None
+    limits.note_response("t", "3", sent=2.0, now=2.1)
+    limits.note_response("t", raw, sent=3.0, now=3.1)
+    assert limits.limit_of("t") == 3.0
 
 
 @pytest.mark.parametrize("raw", ["inf", "1e300", "9" * 5000])
 def test_huge_limit_bounds_nothing(raw: str) -> None:
     limits = TargetLimits()
-    limits.note_answer("t", raw, sent=1.0, now=1.1)
-    assert limits.of("t") is None
+    limits.note_response("t", raw, sent=1.0, now=1.1)
+    assert limits.limit_of("t") is None
 
 
 @given(st.text(max_size=60))
 @settings(max_examples=2000, derandomize=True, deadline=None)
 def test_any_text_for_a_limit_is_taken_or_left(raw: str) -> None:
     limits = TargetLimits()
-    limits.note_answer("t", raw, sent=1.0, now=1.1)
-    limit = limits.of("t")
+    limits.note_response("t", raw, sent=1.0, now=1.1)
+    limit = limits.limit_of("t")
     assert limit is None or limit > 0
