--- a/packages/entry/src/briarthread_entry/direct/admission_rule.py
+++ b/packages/entry/src/briarthread_entry/direct/admission_rule.py
@@ -15,17 +15,17 @@
 
 from briarthread_common.core.error_kind import ErrorKind
 
-YIELDED_SHARE = 0.1
+NEW_CALLER_RESERVE = 0.1
 """Part of the room that callers who come back leave to new ones."""
-EARLIEST_RETURN = 0.3
+MIN_RETRY_AFTER_SECONDS = 0.3
 """Seconds before which a refused caller finds nothing changed: some passes."""
-HONOURED_SHARE = 1 / 3
+HONOURED_FRACTION = 1 / 3
 """Part of the time left within which callers come back as told."""
-LATE_SHARE = 0.85
+OUTAGE_RETRY_FRACTION = 0.85
 """Part of the time that callers honour from which on they come back to a group
 that is away for longer; the rest spreads them."""
 
-LATE_SPREAD = 0.1
+MIN_BACKOFF_JITTER = 0.1
 """Minimum spread of returns after a backoff, as a fraction of the time to its end."""
 
 
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitForRoom:
+class WaitForCapacity:
     """There is no room yet, and still time to wait for it."""
 
 
@@ -48,120 +48,128 @@
     retry_after: float
 
 
-Decision = Start | WaitForRoom | Refuse
+Decision = Start | WaitForCapacity | Refuse
 
 
 @dataclass(frozen=True, slots=True)
-class GroupRoom:
+class GroupCapacity:
     """
     State what a group has room for.
 
-    ``most`` and ``running`` count requests over all entries. ``back_in`` is
+    ``limit`` and ``running`` count requests over all entries. ``recovers_in`` is
     in how many seconds a group that is not serving is expected back. ``opens_in`` is in
     how many seconds the first rank accepts requests, 0.0 if one does already.
     """
 
     serving: bool
     running: int
-    most: int
-    back_in: float = 0.0
+    limit: int
+    recovers_in: float = 0.0
     opens_in: float = 0.0
 
     @property
     def free(self) -> int:
         """Return how many more requests there is room for."""
-        return max(self.most - self.running, 0)
+        return max(self.limit - self.running, 0)
 
 
-def decide(
-    room: GroupRoom, returning: bool, wait_left: float, time_left: float, pick: float
+def decide_admission(
+    capacity: GroupCapacity,
+    is_client_retry: bool,
+    wait_left: float,
+    time_left: float,
+    jitter: float,
 ) -> Decision:
     """
     Return what becomes of a request now.
 
     ``wait_left`` is how long it may still wait for room, ``time_left`` how
-    long its caller waits; ``pick`` from 0 to 1 spreads the returns.
+    long its caller waits; ``jitter`` from 0 to 1 spreads the returns.
 
-    >>> decide(GroupRoom(True, 40, 60), False, 0.2, 8.0, 0.5)
+    >>> decide_admission(GroupCapacity(True, 40, 60), False, 0.2, 8.0, 0.5)
     Start()
-    >>> decide(GroupRoom(True, 58, 60), True, 0.2, 5.0, 0.5)
-    WaitForRoom()
-    >>> decide(GroupRoom(True, 60, 60), False, 0.0, 8.1, 0.5).retry_after
+    >>> decide_admission(GroupCapacity(True, 58, 60), True, 0.2, 5.0, 0.5)
+    WaitForCapacity()
+    >>> decide_admission(GroupCapacity(True, 60, 60), False, 0.0, 8.1, 0.5).retry_after
     1.5
-    >>> decide(GroupRoom(False, 0, 60, back_in=1.2), True, 1.8, 5.0, 0.5)
-    WaitForRoom()
-    >>> decide(GroupRoom(True, 0, 0, opens_in=2.0), False, 0.2, 9.0, 0.0).retry_after
+    >>> broken = GroupCapacity(False, 0, 60, recovers_in=1.2)
+    >>> decide_admission(broken, True, 1.8, 5.0, 0.5)
+    WaitForCapacity()
+    >>> in_backoff = GroupCapacity(True, 0, 0, opens_in=2.0)
+    >>> decide_admission(in_backoff, False, 0.2, 9.0, 0.0).retry_after
     2.0
     """
-    if not room.serving:
-        if room.back_in <= wait_left:
-            return WaitForRoom()
-        pause = return_to_group(time_left, room.back_in, pick)
+    if not capacity.serving:
+        if capacity.recovers_in <= wait_left:
+            return WaitForCapacity()
+        pause = retry_after_outage(time_left, capacity.recovers_in, jitter)
         return Refuse(ErrorKind.GROUP_BROKEN, "the group is not serving", pause)
-    if room.opens_in > 0:
-        return _decide_in_backoff(room.opens_in, wait_left, time_left, pick)
-    if room.running < _limit(room, returning):
+    if capacity.opens_in > 0:
+        return _decide_in_backoff(capacity.opens_in, wait_left, time_left, jitter)
+    if capacity.running < _limit(capacity, is_client_retry):
         return Start()
     if wait_left > 0:
-        return WaitForRoom()
-    reason = f"{room.running} running, room for {room.most}"
-    return Refuse(ErrorKind.OVERLOADED, reason, spread_return(time_left, pick))
+        return WaitForCapacity()
+    reason = f"{capacity.running} running, room for {capacity.limit}"
+    return Refuse(ErrorKind.OVERLOADED, reason, spread_retry_after(time_left, jitter))
 
 
 def _decide_in_backoff(
-    opens_in: float, wait_left: float, time_left: float, pick: float
+    opens_in: float, wait_left: float, time_left: float, jitter: float
 ) -> Decision:
     """Return the decision on a request to a group whose ranks all back off."""
     if opens_in <= wait_left:
-        return WaitForRoom()
-    pause = return_when_open(time_left, opens_in, pick)
+        return WaitForCapacity()
+    pause = retry_after_backoff(time_left, opens_in, jitter)
     return Refuse(ErrorKind.TARGETS_BACKING_OFF, "all ranks are backing off", pause)
 
 
-def spread_return(time_left: float, pick: float) -> float:
+def spread_retry_after(time_left: float, jitter: float) -> float:
     """Return when to come back, spread over all that callers honour."""
-    latest = max(time_left, 0.0) * HONOURED_SHARE
-    earliest = min(EARLIEST_RETURN, latest)
-    return earliest + (latest - earliest) * pick
+    latest = max(time_left, 0.0) * HONOURED_FRACTION
+    earliest = min(MIN_RETRY_AFTER_SECONDS, latest)
+    return earliest + (latest - earliest) * jitter
 
 
-def return_to_group(time_left: float, back_in: float, pick: float) -> float:
+def retry_after_outage(time_left: float, recovers_in: float, jitter: float) -> float:
     """
     Return when to come back to a group that is expected back in some time.
 
-    >>> return_to_group(6.0, 0.5, 0.0), return_to_group(6.0, 4.0, 0.0)
+    >>> retry_after_outage(6.0, 0.5, 0.0), retry_after_outage(6.0, 4.0, 0.0)
     (0.5, 1.7)
     """
-    latest = max(time_left, 0.0) * HONOURED_SHARE
-    earliest = min(back_in, latest * LATE_SHARE)
-    return earliest + (latest - earliest) * pick
+    latest = max(time_left, 0.0) * HONOURED_FRACTION
+    earliest = min(recovers_in, latest * OUTAGE_RETRY_FRACTION)
+    return earliest + (latest - earliest) * jitter
 
 
-def return_when_open(time_left: float, opens_in: float, pick: float) -> float:
+def retry_after_backoff(time_left: float, opens_in: float, jitter: float) -> float:
     """
     Return when to come back to targets of which the first opens in ``opens_in`` s.
 
     The result is never below ``opens_in``, even if callers do not honour that long a
     time, since an earlier return would be refused again.
 
-    >>> return_when_open(9.0, 1.0, 0.5), return_when_open(6.0, 4.0, 0.0)
+    >>> retry_after_backoff(9.0, 1.0, 0.5), retry_after_backoff(6.0, 4.0, 0.0)
     (2.0, 4.0)
     """
-    latest = max(time_left, 0.0) * HONOURED_SHARE
-    return opens_in + max(latest - opens_in, opens_in * LATE_SPREAD) * pick
+    latest = max(time_left, 0.0) * HONOURED_FRACTION
+    return opens_in + max(latest - opens_in, opens_in * MIN_BACKOFF_JITTER) * jitter
 
 
-def _limit(room: GroupRoom, returning: bool) -> float:
-    return room.most * (1 - YIELDED_SHARE) if returning else room.most
+def _limit(capacity: GroupCapacity, is_client_retry: bool) -> float:
+    return (
+        capacity.limit * (1 - NEW_CALLER_RESERVE) if is_client_retry else capacity.limit
+    )
 
 
-def return_after(kind: ErrorKind, time_left: float, pick: float) -> float:
+def retry_after_refusal(kind: ErrorKind, time_left: float, jitter: float) -> float:
     """
     Return when a caller is to come back after a refusal of some kind.
 
-    >>> return_after(ErrorKind.GROUP_BROKEN, 6.0, 1.0)
+    >>> retry_after_refusal(ErrorKind.GROUP_BROKEN, 6.0, 1.0)
     2.0
     """
     if kind is ErrorKind.GROUP_BROKEN:
-        return return_to_group(time_left, math.inf, pick)
-    return spread_return(time_left, pick)
+        return retry_after_outage(time_left, math.inf, jitter)
+    return spread_retry_after(time_left, jitter)
--- a/packages/entry/src/briarthread_entry/direct/attempt_notes.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_notes.py
@@ -14,7 +14,7 @@
 )
 from briarthread_entry.direct.crash_book import CrashBook
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_state import DirectTargetState
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        rooms: GroupRooms,
+        rooms: GroupCapacityTracker,
         crashes: CrashBook,
         backoffs: TargetBackoffs,
         events: EventLog,
@@ -140,7 +140,7 @@
         self._note_attempt_failed(request, state, reason)
         state.replaced = state.replaced or refusal.replaced
         if refusal.faulty:
-            group = self.rooms.roster.of(state.target)
+            group = self.rooms.membership.group_of(state.target)
             self.rooms.note_refused(group, refusal.faulty)
 
 
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -14,7 +14,6 @@
 from briarthread_common.direct.header_names import HeaderNames
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
 from briarthread_common.http.channel_calls import read_bounded
-from briarthread_entry.direct.answer_relay import AnswerRelay, Fields
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
     MayHaveRun,
@@ -25,17 +24,18 @@
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.event_reader import EventReader
 from briarthread_entry.direct.leaving_targets import LeavingTargets
+from briarthread_entry.direct.response_relay import HeaderFields, ResponseRelay
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_limits import TargetLimits
 from briarthread_entry.direct.target_state import DirectTargetState
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 """Largest answer of a plain service that is held until it is whole."""
-DROPPED_BACK = frozenset(
+DROPPED_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "trailer"}
 )
 """Headers of an answer that concern the connection to the target only."""
-REPLACED = 421
+MISDIRECTED_REQUEST = 421
 STREAM_STATUS = 200
 
 
@@ -57,7 +57,7 @@
         self.leaving_targets = leaving_targets
 
     async def send(
-        self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
+        self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
         """Send one attempt; the events of a stream go on as they come."""
         call = self._call(request, state, relay)
@@ -76,21 +76,21 @@
             return MayHaveRun(_failed(ErrorKind.TARGET_FAILED, error), broken_off=True)
 
     async def _read(
-        self, request: DirectRequest, response: ChannelResponse, relay: AnswerRelay
+        self, request: DirectRequest, response: ChannelResponse, relay: ResponseRelay
     ) -> DirectOutcome:
         names = self.names
         headers = response.headers
-        if names.not_run in headers or response.status == REPLACED:
+        if names.not_run in headers or response.status == MISDIRECTED_REQUEST:
             await read_bounded(response.body, MAX_ANSWER_BYTES)
             faulty = headers.get(names.faulty_target, "")
             kind = ErrorKind.GROUP_BROKEN if faulty else ErrorKind.OVERLOADED
             return ProvedNotRun(
                 RequestError(kind, f"the target refused: {response.status} {faulty}"),
-                replaced=response.status == REPLACED,
+                replaced=response.status == MISDIRECTED_REQUEST,
                 faulty=faulty,
             )
         self._check_answer(response)
-        passed_on = tuple(f for f in response.fields if f[0] not in DROPPED_BACK)
+        passed_on = tuple(f for f in response.fields if f[0] not in DROPPED_HEADERS)
         if request.route.kind is CallKind.STREAM and response.status == STREAM_STATUS:
             await self._pass_stream(response, passed_on, relay)
             return StreamPassedOn(relay.first_at, relay.longest_pause)
@@ -106,7 +106,7 @@
         self, state: DirectTargetState, response: ChannelResponse, sent: float
     ) -> None:
         """Record limit, backoff and shutdown; a 421 comes from another target."""
-        if response.status == REPLACED:
+        if response.status == MISDIRECTED_REQUEST:
             return
         name = state.target.name
         now = anyio.current_time()
@@ -127,18 +127,18 @@
             raise SpoiltAnswerError("an encoding that nobody asked for")
 
     async def _pass_stream(
-        self, response: ChannelResponse, headers: Fields, relay: AnswerRelay
+        self, response: ChannelResponse, headers: HeaderFields, relay: ResponseRelay
     ) -> None:
         reader = EventReader()
         async for chunk in response.body:
             for event in reader.feed(chunk):
-                await relay.pass_event(response.status, headers, event)
-        if reader.rest:
+                await relay.forward_event(response.status, headers, event)
+        if reader.incomplete:
             raise SpoiltAnswerError("the stream ended within an event")
         await relay.finish(response.status, headers)
 
     def _call(
-        self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
+        self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> ChannelRequest:
         names = self.names
         left = max(request.deadline - anyio.current_time(), 0.0)
@@ -146,8 +146,8 @@
         headers.append((names.expected_target, state.target.name))
         if request.account:
             headers.append((names.account_name, request.account))
-        if relay.last_id is not None:
-            headers.append((names.resume_from, str(relay.last_id)))
+        if relay.last_event_id is not None:
+            headers.append((names.resume_from, str(relay.last_event_id)))
         return ChannelRequest(
             request.method,
             state.target.address,
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -25,19 +25,19 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.direct.attempt_sender import AttemptSender
 from briarthread_entry.direct.crash_book import CrashBook
-from briarthread_entry.direct.group_board import GroupBoard
-from briarthread_entry.direct.group_gate import GroupGate
-from briarthread_entry.direct.group_rooms import GroupRooms
-from briarthread_entry.direct.group_roster import GroupRoster
+from briarthread_entry.direct.group_admission import GroupAdmission
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
+from briarthread_entry.direct.group_membership import GroupMembership
+from briarthread_entry.direct.group_reports import GroupReports
 from briarthread_entry.direct.group_watcher import GroupWatcher
 from briarthread_entry.direct.home_slots import HomeSlots
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.limit_tokens import LimitTokens
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.read_request import RequestReader
 from briarthread_entry.direct.request_handler import RequestHandler
 from briarthread_entry.direct.request_runner import RequestRunner
-from briarthread_entry.direct.running_board import RunningBoard
-from briarthread_entry.direct.running_teller import RunningTeller
+from briarthread_entry.direct.running_reporter import RunningReporter
 from briarthread_entry.direct.running_watcher import RunningWatcher
 from briarthread_entry.direct.settings import DirectSettings
 from briarthread_entry.direct.shared_retry_budget import SharedRetryBudget
@@ -86,28 +86,30 @@
             self.feeds.targets, adapter, self.spreader.well_since, self.leaving_targets
         )
         self.book.on_gone = self._forget
-        self.board = RunningBoard(self.limits, self.crashes, self.leaving_targets)
-        self.groups = GroupBoard()
-        self.roster = GroupRoster(self.directory)
-        self.slow_ranks = SlowRanks(self.book, self.roster, self.groups)
-        self.rooms = GroupRooms(
+        self.peer_reports = PeerReports(self.limits, self.crashes, self.leaving_targets)
+        self.group_reports = GroupReports()
+        self.membership = GroupMembership(self.directory)
+        self.slow_ranks = SlowRanks(self.book, self.membership, self.group_reports)
+        self.capacity = GroupCapacityTracker(
             self.book,
-            self.board,
-            self.roster,
+            self.peer_reports,
+            self.membership,
             self.slow_ranks,
             self.limits,
             self.backoffs,
         )
-        self.gate = GroupGate(self.rooms, rng)
-        self.watcher = RunningWatcher(
-            settings.name, self.directory, self.board, peer_channel, rng
+        self.admission = GroupAdmission(self.capacity, rng)
+        self.running_watcher = RunningWatcher(
+            settings.name, self.directory, self.peer_reports, peer_channel, rng
+        )
+        self.running_reporter = RunningReporter(
+            self._report, self.peer_reports, self.running_watcher
         )
-        self.teller = RunningTeller(self._report, self.board, self.watcher)
         self.group_watcher = GroupWatcher(
             settings.data_centre,
             self.directory,
-            self.roster,
-            self.groups,
+            self.membership,
+            self.group_reports,
             peer_channel,
             rng,
         )
@@ -124,8 +126,8 @@
             TargetChooser(
                 settings.data_centre,
                 self.book,
-                self.board,
-                self.rooms,
+                self.peer_reports,
+                self.capacity,
                 self.slow_ranks,
                 HomeSlots(settings.name, self.directory),
                 self.tokens,
@@ -142,8 +144,8 @@
             ),
             self.crashes,
             self.budget,
-            self.gate,
-            self.rooms,
+            self.admission,
+            self.capacity,
             self.slow_ranks,
             self.metrics,
             self.events,
@@ -162,7 +164,7 @@
         self.peer_app = App(
             [
                 Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
-                *self.teller.routes(),
+                *self.running_reporter.routes(),
                 *self.tokens.routes(),
                 *self.pages.routes(),
             ]
@@ -173,7 +175,7 @@
         tasks.start_soon(self.spreader.run)
         tasks.start_soon(self.routes.follow)
         tasks.start_soon(self.book.follow)
-        tasks.start_soon(self.watcher.run)
+        tasks.start_soon(self.running_watcher.run)
         tasks.start_soon(self.group_watcher.run)
         tasks.start_soon(self.slow_ranks.run)
         tasks.start_soon(self._list_itself)
@@ -188,7 +190,7 @@
         logger.info("entry: stopping")
         self.draining = True
         await anyio.sleep(self.settings.drain_notice)
-        self.teller.close()
+        self.running_reporter.close()
 
     def ready(self) -> str:
         """Return why the entry is not ready, or nothing."""
@@ -218,7 +220,7 @@
 
     def _report(self) -> RunningReport:
         """Return what other entries are told of what runs here."""
-        report = self.gate.report()
+        report = self.admission.report()
         now = anyio.current_time()
         words, crashes = self.limits.words(now), self.crashes.words(now)
         leaving = self.leaving_targets.own_names()
@@ -262,7 +264,7 @@
             "shut_out": sorted(self.crashes.out),
             "groups": {
                 str(group): {"serving": not health.broken}
-                for group, health in self.rooms.healths.items()
+                for group, health in self.capacity.healths.items()
             },
             "ready": self.ready() or "yes",
         }
--- a/packages/entry/src/briarthread_entry/direct/direct_request.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_request.py
@@ -13,7 +13,7 @@
 
     ``path`` is the path with its query, as the caller wrote it. ``arrived``
     and ``deadline`` are seconds of the runtime's clock; the deadline is the
-    earlier of the caller's and the route's. ``patience`` is how many seconds
+    earlier of the caller's and the route's. ``caller_timeout`` is how many seconds
     the caller itself was ready to wait, ``None`` where it did not say. ``digest`` is
     the same for the same request of one account.
     """
@@ -29,14 +29,14 @@
     priority: int
     arrived: float
     deadline: float
-    patience: float | None = None
+    caller_timeout: float | None = None
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    resumes_after: int | None = None
+    last_event_id: int | None = None
     digest: str = ""
 
-    def caller_left(self, now: float) -> float:
+    def caller_time_left(self, now: float) -> float:
         """Return the seconds that the caller itself still waits."""
-        if self.patience is None:
+        if self.caller_timeout is None:
             return self.deadline - now
-        return self.arrived + self.patience - now
+        return self.arrived + self.caller_timeout - now
--- a/packages/entry/src/briarthread_entry/direct/event_reader.py
+++ b/packages/entry/src/briarthread_entry/direct/event_reader.py
@@ -20,16 +20,16 @@
     >>> reader = EventReader()
     >>> [event.id for event in reader.feed(b"id: 1\ndata: a\n\nid: 2\nda")]
     [1]
-    >>> reader.rest
+    >>> reader.incomplete
     b'id: 2\nda'
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.incomplete = b""
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
         """Return the events that a chunk completes."""
-        *whole, self.rest = (self.rest + chunk).split(EVENT_END)
+        *whole, self.incomplete = (self.incomplete + chunk).split(EVENT_END)
         return [StreamEvent(raw + EVENT_END, event_id(raw)) for raw in whole]
 
 
--- a/packages/entry/src/briarthread_entry/direct/final_error.py
+++ b/packages/entry/src/briarthread_entry/direct/final_error.py
@@ -5,7 +5,10 @@
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.outcome import Outcome
-from briarthread_entry.direct.admission_rule import return_after, return_when_open
+from briarthread_entry.direct.admission_rule import (
+    retry_after_backoff,
+    retry_after_refusal,
+)
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
     LeftSlowRank,
@@ -20,14 +23,14 @@
 
 def final_error(
     failures: Sequence[DirectOutcome],
-    caller_left: float,
+    caller_time_left: float,
     pick: float,
     closed: TargetsClosed | None = None,
 ) -> RequestError:
     """
     Return the last failure, as not run only if no attempt may have run.
 
-    ``caller_left`` is how many seconds the caller still waits; ``pick`` from 0
+    ``caller_time_left`` is how many seconds the caller still waits; ``pick`` from 0
     to 1 spreads the returns of those who are told to come back. ``closed`` is set if
     none of the remaining targets accepts a request.
 
@@ -40,23 +43,23 @@
     """
     certain = all(isinstance(failure, ProvedNotRun) for failure in failures)
     if closed is not None and certain:
-        pause = return_when_open(caller_left, closed.opens_in, pick)
+        pause = retry_after_backoff(caller_time_left, closed.opens_in, pick)
         return RequestError(closed.kind, str(closed), retry_after=pause)
     if not failures:
-        pause = return_after(ErrorKind.NO_TARGET, caller_left, pick)
+        pause = retry_after_refusal(ErrorKind.NO_TARGET, caller_time_left, pick)
         return RequestError(
             ErrorKind.NO_TARGET, "no target is listed", retry_after=pause
         )
     last = failures[-1]
     if isinstance(last, ProvedNotRun) and certain:
-        pause = return_after(last.error.kind, caller_left, pick)
+        pause = retry_after_refusal(last.error.kind, caller_time_left, pick)
         return RequestError(last.error.kind, last.error.detail, retry_after=pause)
     return RequestError(
         ErrorKind.TARGET_FAILED, _describe(last), outcome=Outcome.UNKNOWN
     )
 
 
-def repeat_reason(outcome: DirectOutcome) -> str:
+def retry_reason(outcome: DirectOutcome) -> str:
     """Return under which reason a repeat after an outcome is counted."""
     match outcome:
         case ProvedNotRun(error=error) | MayHaveRun(error=error):
--- a/packages/entry/src/briarthread_entry/direct/group_rooms.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -15,50 +15,53 @@
 
 from briarthread_common.direct.direct_service import DirectService
 from briarthread_common.direct.group_id import GroupId
-from briarthread_entry.direct.admission_rule import GroupRoom
+from briarthread_entry.direct.admission_rule import GroupCapacity
 from briarthread_entry.direct.direct_request import DirectRequest
+from briarthread_entry.direct.group_concurrency import (
+    initial_request_cost,
+    max_concurrency,
+)
 from briarthread_entry.direct.group_health import GroupHealth
-from briarthread_entry.direct.group_load import most_running, usual_each
-from briarthread_entry.direct.group_roster import GroupRoster
+from briarthread_entry.direct.group_membership import GroupMembership
 from briarthread_entry.direct.pass_meter import PassMeter
-from briarthread_entry.direct.running_board import RunningBoard
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_limits import TargetLimits
 from briarthread_entry.direct.target_state import DirectTargetState
 
-FLOWING_SECONDS = 0.4
+RECENT_EVENT_SECONDS = 0.4
 """Age of the last event of a stream up to which the group serves, whatever an
 agent says; its own rank may be leaving the group."""
-COUNT_SECONDS = 0.01
+RUNNING_COUNT_SECONDS = 0.01
 """How long a count of what runs in a group holds for the events of its streams:
 they come together, one of each stream a pass, and each would be counted for."""
 
-Rooms = dict[GroupId, GroupRoom]
+GroupCapacities = dict[GroupId, GroupCapacity]
 
 
-class GroupRooms:
+class GroupCapacityTracker:
     """Keep the passes and the health of each group, and tell its room."""
 
     def __init__(
         self,
         book: TargetBook,
-        board: RunningBoard,
-        roster: GroupRoster,
+        peer_reports: PeerReports,
+        membership: GroupMembership,
         slow_ranks: SlowRanks,
         limits: TargetLimits,
         backoffs: TargetBackoffs,
     ) -> None:
         self.book = book
-        self.board = board
-        self.roster = roster
+        self.peer_reports = peer_reports
+        self.membership = membership
         self.slow_ranks = slow_ranks
         self.limits = limits
         self.backoffs = backoffs
         self.meters: dict[GroupId, PassMeter] = {}
         self.healths: dict[GroupId, GroupHealth] = {}
-        self.counted: dict[GroupId, tuple[float, int]] = {}
+        self.running_counts: dict[GroupId, tuple[float, int]] = {}
 
     def meter(self, service: DirectService, group: GroupId) -> PassMeter:
         """Return the meter of a group's passes."""
@@ -72,21 +75,21 @@
         if engine is None:
             return PassMeter(0.0, 0.0)
         ranks = len(self._ranks(group, anyio.current_time()))
-        usual = usual_each(engine, max(ranks, 1))
+        usual = initial_request_cost(engine, max(ranks, 1))
         return PassMeter(engine.stride * engine.step_seconds, usual)
 
     def health(self, group: GroupId) -> GroupHealth:
         """Return the health of a group."""
         return self.healths.setdefault(group, GroupHealth())
 
-    def rooms(self, request: DirectRequest, now: float) -> Rooms:
+    def capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
         """
         Return the groups that a request may go to, each with its room.
 
         A group that is away gets a request now and then to see whether it is back;
         that request may go nowhere else.
         """
-        found = self._all_rooms(request, now)
+        found = self._all_capacities(request, now)
         elsewhere = any(room.free > 0 for room in found.values() if room.serving)
         for group, room in found.items():
             if room.serving or room.opens_in > 0:
@@ -97,33 +100,33 @@
 
     def open_groups(self, request: DirectRequest, now: float) -> set[GroupId]:
         """Return the groups that serve and have room, probing none."""
-        return open_of(self._all_rooms(request, now))
+        return groups_with_capacity(self._all_capacities(request, now))
 
-    def _all_rooms(self, request: DirectRequest, now: float) -> Rooms:
+    def _all_capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
         service = request.service
-        usable = self.roster.split(self.slow_ranks.usable(service.name, now))
+        usable = self.membership.by_group(self.slow_ranks.usable(service.name, now))
         return {
-            group: self._room(request, group, states, now)
+            group: self._capacity(request, group, states, now)
             for group, states in usable.items()
         }
 
-    def _room(
+    def _capacity(
         self,
         request: DirectRequest,
         group: GroupId,
         states: Sequence[DirectTargetState],
         now: float,
-    ) -> GroupRoom:
+    ) -> GroupCapacity:
         service = request.service
-        each = self.meter(service, group).each(now)
+        each = self.meter(service, group).request_cost(now)
         if each is None:
-            each = self.board.each(str(group), now)
-        most = most_running(len(states), service.engine, request.route.gap_aim, each)
-        return GroupRoom(
+            each = self.peer_reports.request_cost(str(group), now)
+        most = max_concurrency(len(states), service.engine, request.route.gap_aim, each)
+        return GroupCapacity(
             serving=self._serves(service, group, now),
             running=self._running(states, now),
-            most=min(most, sum(self._places(state, now) for state in states)),
-            back_in=self.health(group).expected_back(now),
+            limit=min(most, sum(self._rank_limit(state, now) for state in states)),
+            recovers_in=self.health(group).seconds_to_recovery(now),
             opens_in=self._opens_in(states, now),
         )
 
@@ -132,7 +135,7 @@
         opens = (self.backoffs.opens_at(state.target.name, now) for state in states)
         return max(min(opens, default=now) - now, 0.0)
 
-    def _places(self, state: DirectTargetState, now: float) -> int:
+    def _rank_limit(self, state: DirectTargetState, now: float) -> int:
         """
         Return how many requests a rank may run at once.
 
@@ -156,12 +159,12 @@
         it never keeps the probes of a group away that is taken to be broken.
         """
         health = self.health(group)
-        said = self.slow_ranks.groups.serving(group, now)
-        flowing = now - self.meter(service, group).last_event <= FLOWING_SECONDS
+        said = self.slow_ranks.groups.is_serving(group, now)
+        flowing = now - self.meter(service, group).last_event <= RECENT_EVENT_SECONDS
         if said is False and not flowing and not health.broken:
             health.note_broken(now)
             logger.warning("group: {} is not serving, says an agent", group)
-        if said is True and health.note_said_serving(now):
+        if said is True and health.note_reported_serving(now):
             logger.info("group: {} serves again, says an agent", group)
         return not health.broken
 
@@ -169,34 +172,34 @@
         return [
             state
             for state in self.book.of_service(group.service, now)
-            if self.roster.of(state.target) == group
+            if self.membership.group_of(state.target) == group
         ]
 
     def _running(self, states: Sequence[DirectTargetState], now: float) -> int:
         names = (state.target.name for state in states)
-        elsewhere = self.board.elsewhere_at(names, now)
+        elsewhere = self.peer_reports.total_running_elsewhere(names, now)
         return elsewhere + sum(state.running for state in states)
 
-    def _counted(self, group: GroupId, now: float) -> int:
+    def _cached_running(self, group: GroupId, now: float) -> int:
         """Return what runs in a group, counted anew now and then."""
-        counted = self.counted.get(group)
-        if counted is None or now - counted[0] > COUNT_SECONDS:
+        counted = self.running_counts.get(group)
+        if counted is None or now - counted[0] > RUNNING_COUNT_SECONDS:
             running = self._running(self._ranks(group, now), now)
-            counted = self.counted[group] = (now, running)
+            counted = self.running_counts[group] = (now, running)
         return counted[1]
 
-    def away(self, service: str) -> bool:
+    def all_broken(self, service: str) -> bool:
         """Tell whether no group of a service is known to serve."""
         of_service = [
             health for group, health in self.healths.items() if group.service == service
         ]
         return bool(of_service) and all(health.broken for health in of_service)
 
-    def back_at(self, service: str) -> float:
+    def last_recovery(self, service: str) -> float:
         """Return when a group of a service was last seen to be back."""
         return max(
             (
-                health.back_at
+                health.recovered_at
                 for group, health in self.healths.items()
                 if group.service == service
             ),
@@ -209,7 +212,7 @@
             seconds
             for group, meter in self.meters.items()
             if group.service == service.name
-            and (seconds := meter.seconds(now)) is not None
+            and (seconds := meter.mean_seconds(now)) is not None
         ]
         return min(seen, default=None)
 
@@ -223,38 +226,40 @@
     ) -> None:
         """Record an event of one of this entry's streams in a group."""
         now = anyio.current_time()
-        self.meter(service, group).note_event(previous, now, self._counted(group, now))
+        self.meter(service, group).note_event(
+            previous, now, self._cached_running(group, now)
+        )
         if self.health(group).note_serving(now):
             logger.info("group: {} serves again", group)
 
 
-def open_of(rooms: Mapping[GroupId, GroupRoom]) -> set[GroupId]:
+def groups_with_capacity(rooms: Mapping[GroupId, GroupCapacity]) -> set[GroupId]:
     """Return the groups that serve and have room."""
     return {group for group, room in rooms.items() if room.serving and room.free > 0}
 
 
-def joined(rooms: Mapping[GroupId, GroupRoom]) -> GroupRoom:
+def combined_capacity(rooms: Mapping[GroupId, GroupCapacity]) -> GroupCapacity:
     """
     Return the room of all groups that serve, or of all where none does.
 
     What runs in a group beyond its limit takes no room from the others.
 
     >>> rooms = {
-    ...     GroupId("m", "a"): GroupRoom(True, 12, 10),
-    ...     GroupId("m", "b"): GroupRoom(True, 4, 10),
-    ...     GroupId("m", "c"): GroupRoom(False, 0, 10, back_in=2.0),
+    ...     GroupId("m", "a"): GroupCapacity(True, 12, 10),
+    ...     GroupId("m", "b"): GroupCapacity(True, 4, 10),
+    ...     GroupId("m", "c"): GroupCapacity(False, 0, 10, recovers_in=2.0),
     ... }
-    >>> joined(rooms)
-    GroupRoom(serving=True, running=14, most=20, back_in=0.0, opens_in=0.0)
+    >>> combined_capacity(rooms)
+    GroupCapacity(serving=True, running=14, limit=20, recovers_in=0.0, opens_in=0.0)
     """
     serving = [room for room in rooms.values() if room.serving]
     counted = serving or list(rooms.values())
-    back_in = min((room.back_in for room in counted), default=0.0)
+    recovers_in = min((room.recovers_in for room in counted), default=0.0)
     opens_in = min((room.opens_in for room in counted), default=0.0)
-    return GroupRoom(
+    return GroupCapacity(
         serving=bool(serving),
-        running=sum(min(room.running, room.most) for room in counted),
-        most=sum(room.most for room in counted),
-        back_in=0.0 if serving else back_in,
+        running=sum(min(room.running, room.limit) for room in counted),
+        limit=sum(room.limit for room in counted),
+        recovers_in=0.0 if serving else recovers_in,
         opens_in=opens_in,
     )
--- a/packages/entry/src/briarthread_entry/direct/group_load.py
+++ b/packages/entry/src/briarthread_entry/direct/group_concurrency.py
@@ -12,20 +12,20 @@
 
 from briarthread_common.direct.engine_figures import EngineFigures
 
-TINY = 1e-6
-PASS_SHARE = 0.8
+MIN_REQUEST_COST_SECONDS = 1e-6
+MAX_PASS_FRACTION = 0.8
 """Part of the longest pause that a predicted pass may take. Single passes are
 longer than the mean by the prompts read in them; one such pass is enough to
 make a stream late."""
-USUAL_SKEW = 2.0
+INITIAL_SKEW = 2.0
 """How much more than its even part the busiest rank is taken to do before
 anything was seen: experts placed by demand leave 1.2, in turn some 3."""
-LEAST_SHARE = 0.4
+MIN_SLOTS_FRACTION = 0.4
 """Part of the slots that is always given out, whatever was seen: a group in
 trouble must show by running work that it is over."""
 
 
-def most_running(
+def max_concurrency(
     ranks: int, engine: EngineFigures, longest_pause: float, each: float | None
 ) -> int:
     """
@@ -35,25 +35,27 @@
     where nothing was seen.
 
     >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
-    >>> most_running(12, engine, 0.12, 0.0015)
+    >>> max_concurrency(12, engine, 0.12, 0.0015)
     44
-    >>> most_running(12, engine, 0.12, 0.0005)
+    >>> max_concurrency(12, engine, 0.12, 0.0005)
     72
     """
     slots = ranks * engine.slots
     if each is None or longest_pause <= 0:
         return slots
     fixed = engine.stride * engine.step_seconds
-    fitting = (longest_pause * PASS_SHARE - fixed) / max(each, TINY)
-    return int(min(max(fitting, slots * LEAST_SHARE), slots))
+    fitting = (longest_pause * MAX_PASS_FRACTION - fixed) / max(
+        each, MIN_REQUEST_COST_SECONDS
+    )
+    return int(min(max(fitting, slots * MIN_SLOTS_FRACTION), slots))
 
 
-def usual_each(engine: EngineFigures, ranks: int) -> float:
+def initial_request_cost(engine: EngineFigures, ranks: int) -> float:
     """
     Return what a running request adds to a pass, in seconds, as a first guess.
 
     >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
-    >>> round(usual_each(engine, 10), 5)
+    >>> round(initial_request_cost(engine, 10), 5)
     0.0007
     """
-    return engine.stride * engine.writer_seconds * USUAL_SKEW / ranks
+    return engine.stride * engine.writer_seconds * INITIAL_SKEW / ranks
--- a/packages/entry/src/briarthread_entry/direct/group_roster.py
+++ b/packages/entry/src/briarthread_entry/direct/group_membership.py
@@ -10,7 +10,7 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 
-class GroupRoster:
+class GroupMembership:
     """
     Tell the group of a rank, as the agent on its instance lists it.
 
@@ -20,46 +20,46 @@
 
     def __init__(self, directory: Directory) -> None:
         self.directory = directory
-        self.number = -1
-        self.by_host: dict[tuple[str, str], GroupId] = {}
-        self.groups: dict[str, set[GroupId]] = {}
+        self.feed_number = -1
+        self.group_by_host: dict[tuple[str, str], GroupId] = {}
+        self.named_groups: dict[str, set[GroupId]] = {}
 
-    def of(self, target: DirectTarget) -> GroupId:
+    def group_of(self, target: DirectTarget) -> GroupId:
         """Return the group that a rank is in."""
         self._refresh()
-        found = self.by_host.get((target.service, host_of(target.address)))
+        found = self.group_by_host.get((target.service, host_of(target.address)))
         return found or self._default(target.service)
 
-    def split(
+    def by_group(
         self, states: Iterable[DirectTargetState]
     ) -> dict[GroupId, list[DirectTargetState]]:
         """Return ranks by their groups."""
         found: dict[GroupId, list[DirectTargetState]] = {}
         for state in states:
-            found.setdefault(self.of(state.target), []).append(state)
+            found.setdefault(self.group_of(state.target), []).append(state)
         return found
 
-    def listed(self) -> set[GroupId]:
+    def known_groups(self) -> set[GroupId]:
         """Return the groups that agents belong to."""
         self._refresh()
         return {
             group
-            for service, named in self.groups.items()
+            for service, named in self.named_groups.items()
             for group in named or {GroupId(service)}
         }
 
     def _default(self, service: str) -> GroupId:
-        named = self.groups.get(service, set())
+        named = self.named_groups.get(service, set())
         return next(iter(named)) if len(named) == 1 else GroupId(service)
 
     def _refresh(self) -> None:
-        if self.number == self.directory.feed.number:
+        if self.feed_number == self.directory.feed.number:
             return
-        self.number = self.directory.feed.number
-        self.by_host, self.groups = {}, {}
+        self.feed_number = self.directory.feed.number
+        self.group_by_host, self.named_groups = {}, {}
         for row in self.directory.of_role(InstanceRole.TARGET).values():
-            named = self.groups.setdefault(row.service, set())
+            named = self.named_groups.setdefault(row.service, set())
             if row.group:
                 group = GroupId(row.service, row.group)
                 named.add(group)
-                self.by_host[row.service, host_of(row.address)] = group
+                self.group_by_host[row.service, host_of(row.address)] = group
--- a/packages/entry/src/briarthread_entry/direct/group_board.py
+++ b/packages/entry/src/briarthread_entry/direct/group_reports.py
@@ -11,16 +11,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _ReceivedReport:
     report: GroupReport
     at: float
 
 
-class GroupBoard:
+class GroupReports:
     """
     Hold the newest report on each group; times are the runtime's.
 
-    >>> board, group = GroupBoard(), GroupId("model", "g-1")
+    >>> board, group = GroupReports(), GroupId("model", "g-1")
     >>> board.put(group, GroupReport(slow={"10.2.0.1": 4.0}), now=10.0)
     >>> board.slowdown(group, "10.2.0.1:80", now=11.0)
     4.0
@@ -29,13 +29,13 @@
     """
 
     def __init__(self) -> None:
-        self.heard: dict[GroupId, _Heard] = {}
+        self.received: dict[GroupId, _ReceivedReport] = {}
         self.changed = anyio.Event()
 
     def put(self, group: GroupId, report: GroupReport, now: float) -> None:
         """Take over a report."""
-        before = self.heard.get(group)
-        self.heard[group] = _Heard(report, now)
+        before = self.received.get(group)
+        self.received[group] = _ReceivedReport(report, now)
         if before is None or before.report != report:
             changed, self.changed = self.changed, anyio.Event()
             changed.set()
@@ -49,18 +49,18 @@
         report = self._fresh(group, now)
         return 1.0 if report is None else report.slow.get(host_of(address), 1.0)
 
-    def any_slow(self, group: GroupId, now: float) -> bool:
+    def has_slow_rank(self, group: GroupId, now: float) -> bool:
         """Tell whether some rank of a group takes longer than usual."""
         report = self._fresh(group, now)
         return report is not None and bool(report.slow)
 
-    def serving(self, group: GroupId, now: float) -> bool | None:
+    def is_serving(self, group: GroupId, now: float) -> bool | None:
         """Tell whether a group serves, ``None`` where no agent says so."""
         report = self._fresh(group, now)
         return None if report is None else report.serving
 
     def _fresh(self, group: GroupId, now: float) -> GroupReport | None:
-        heard = self.heard.get(group)
-        if heard is None or now - heard.at > SILENCE_SECONDS:
+        received = self.received.get(group)
+        if received is None or now - received.at > SILENCE_SECONDS:
             return None
-        return heard.report
+        return received.report
--- a/packages/entry/src/briarthread_entry/direct/group_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/group_watcher.py
@@ -13,8 +13,8 @@
 from briarthread_common.messages.group_report import GROUP_PATH, GroupReport
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.spread.directory import Directory
-from briarthread_entry.direct.group_board import GroupBoard
-from briarthread_entry.direct.group_roster import GroupRoster
+from briarthread_entry.direct.group_membership import GroupMembership
+from briarthread_entry.direct.group_reports import GroupReports
 
 REFRESH_SECONDS = 1.0
 """How often the list of agents is looked at for new groups."""
@@ -34,18 +34,18 @@
         self,
         data_centre: str,
         directory: Directory,
-        roster: GroupRoster,
-        board: GroupBoard,
+        membership: GroupMembership,
+        group_reports: GroupReports,
         channel: Channel,
         rng: random.Random,
     ) -> None:
         self.data_centre = data_centre
         self.directory = directory
-        self.roster = roster
-        self.board = board
+        self.membership = membership
+        self.group_reports = group_reports
         self.channel = channel
         self.rng = rng
-        self.followed: set[GroupId] = set()
+        self.watched: set[GroupId] = set()
 
     async def run(self) -> None:
         """Follow the groups of all listed agents until cancelled."""
@@ -55,12 +55,12 @@
                 await anyio.sleep(REFRESH_SECONDS)
 
     def _refresh(self, tasks: TaskGroup) -> None:
-        for group in sorted(self.roster.listed() - self.followed):
-            self.followed.add(group)
+        for group in sorted(self.membership.known_groups() - self.watched):
+            self.watched.add(group)
             tasks.start_soon(self._keep_following, group)
 
     async def _keep_following(self, group: GroupId) -> None:
-        while group in self.roster.listed():
+        while group in self.membership.known_groups():
             agent = self._choose(group)
             if agent is not None:
                 try:
@@ -69,7 +69,7 @@
                     logger.debug("group: {} lost: {}", agent.name, error)
             await anyio.sleep(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
         logger.info("group: {} has no agents any more", group)
-        self.followed.discard(group)
+        self.watched.discard(group)
 
     def _choose(self, group: GroupId) -> Instance | None:
         rows = [
@@ -87,4 +87,4 @@
             if group.name and report.group not in ("", group.name):
                 logger.info("group: {} is in {} now", agent.name, report.group)
                 return
-            self.board.put(group, report, anyio.current_time())
+            self.group_reports.put(group, report, anyio.current_time())
--- a/packages/entry/src/briarthread_entry/direct/pass_meter.py
+++ b/packages/entry/src/briarthread_entry/direct/pass_meter.py
@@ -28,23 +28,23 @@
     """
     Keep the mean pause between events, and what each running request adds.
 
-    ``fixed`` is the part of a pass, in seconds, that does not depend on load;
-    ``usual`` is what a running request adds before anything was seen. Without
+    ``fixed_seconds`` is the part of a pass, in seconds, that does not depend on load;
+    ``initial_cost`` is what a running request adds before anything was seen. Without
     it the first pause would count for all: after a restart that is one with
     many prompts read at once, and what runs elsewhere is not known yet.
 
-    >>> meter = PassMeter(fixed=0.02, usual=0.002)
+    >>> meter = PassMeter(fixed_seconds=0.02, initial_cost=0.002)
     >>> meter.note_event(None, now=1.0, running=20)
     >>> meter.note_event(1.0, now=1.16, running=20)
-    >>> round(meter.seconds(now=1.2), 3), round(meter.each(now=1.2), 5)
+    >>> round(meter.mean_seconds(now=1.2), 3), round(meter.request_cost(now=1.2), 5)
     (0.16, 0.00204)
     """
 
-    def __init__(self, fixed: float, usual: float) -> None:
-        self.fixed = fixed
-        self.usual = usual
+    def __init__(self, fixed_seconds: float, initial_cost: float) -> None:
+        self.fixed_seconds = fixed_seconds
+        self.initial_cost = initial_cost
         self.mean = DecayingMean(PAUSE_WEIGHT)
-        self.share = DecayingMean(SHARE_WEIGHT, value=usual, samples=1)
+        self.cost = DecayingMean(SHARE_WEIGHT, value=initial_cost, samples=1)
         self.last_event = float("-inf")
 
     def note_event(self, previous: float | None, now: float, running: int) -> None:
@@ -54,17 +54,17 @@
             return
         self.mean.add(now - previous)
         if running >= FEW:
-            each = max(now - previous - self.fixed, 0.0) / running
-            known = max(self.share.value, self.usual)
-            self.share.add(min(each, known * MOST_TIMES))
+            each = max(now - previous - self.fixed_seconds, 0.0) / running
+            known = max(self.cost.value, self.initial_cost)
+            self.cost.add(min(each, known * MOST_TIMES))
 
-    def seconds(self, now: float) -> float | None:
+    def mean_seconds(self, now: float) -> float | None:
         """Return the mean pass, ``None`` when no stream has shown it lately."""
         return self.mean.value if self._fresh(now, self.mean) else None
 
-    def each(self, now: float) -> float | None:
+    def request_cost(self, now: float) -> float | None:
         """Return the seconds that a running request adds to a pass, if known."""
-        return self.share.value if self._fresh(now, self.share) else None
+        return self.cost.value if self._fresh(now, self.cost) else None
 
     def _fresh(self, now: float, mean: DecayingMean) -> bool:
         return mean.samples > 0 and now - self.last_event <= STALE_SECONDS
--- a/packages/entry/src/briarthread_entry/direct/running_board.py
+++ b/packages/entry/src/briarthread_entry/direct/peer_reports.py
@@ -18,14 +18,14 @@
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.target_limits import TargetLimits
 
-CHECK_SECONDS = 0.25
+STALE_CHECK_INTERVAL_SECONDS = 0.25
 """How often silent entries are looked for; the sums are asked for at each
 event of each stream, and summing anew each time took most of an entry's time
 before 63 ranks."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
+class _ReceivedReport:
     report: RunningReport
     at: float
     until: float
@@ -48,7 +48,7 @@
         return replace(report, limits=limits, crashes=crashes, backoffs=backoffs)
 
 
-class RunningBoard:
+class PeerReports:
     """
     Hold the newest report of each other entry, and what they sum up to.
 
@@ -56,10 +56,10 @@
     ``limits``, of requests that crash targets to ``crashes``, of leaving targets to
     ``leaving_targets``.
 
-    >>> board = RunningBoard()
-    >>> board.put("entry-2", RunningReport({"t-1": 3}), now=10.0)
-    >>> board.elsewhere("t-1", now=11.0), board.elsewhere("t-1", now=12.0)
-    (3, 0)
+    >>> reports = PeerReports()
+    >>> reports.put("entry-2", RunningReport({"t-1": 3}), now=10.0)
+    >>> [reports.running_elsewhere("t-1", now) for now in (11.0, 12.0)]
+    [3, 0]
     """
 
     def __init__(
@@ -71,28 +71,28 @@
         self.limits = limits or TargetLimits()
         self.crashes = crashes or CrashBook()
         self.leaving_targets = leaving_targets or LeavingTargets()
-        self.heard: dict[str, _Heard] = {}
+        self.received: dict[str, _ReceivedReport] = {}
         self.totals: Counter[str] = Counter()
         self.backoff_until: dict[str, float] = {}
-        self.checked = float("-inf")
+        self.last_check = float("-inf")
 
     def put(
         self,
         entry: str,
         report: RunningReport,
         now: float,
-        kept: float = SILENCE_SECONDS,
+        lifetime: float = SILENCE_SECONDS,
     ) -> None:
-        """Take over a report, which counts for ``kept`` seconds without a newer one."""
+        """Store a report, which expires after ``lifetime`` seconds."""
         self._remove_report(entry)
-        self.heard[entry] = _Heard(report, now, now + kept)
+        self.received[entry] = _ReceivedReport(report, now, now + lifetime)
         self.limits.put(entry, report.limits, now)
         self.crashes.put(entry, report.crashes, now)
         self.leaving_targets.put(entry, report.leaving)
         self._note_backoffs(report, now)
         self.totals.update(report.running)
 
-    def backing_off(self, target: str, now: float) -> bool:
+    def is_backing_off(self, target: str, now: float) -> bool:
         """Return whether a backoff that another entry reported is still in effect."""
         return self.backoff_until.get(target, now) > now
 
@@ -108,68 +108,70 @@
         self.leaving_targets.drop(entry)
 
     def _remove_report(self, entry: str) -> None:
-        heard = self.heard.pop(entry, None)
-        if heard is not None:
-            self.totals.subtract(heard.report.running)
+        received = self.received.pop(entry, None)
+        if received is not None:
+            self.totals.subtract(received.report.running)
 
-    def reports(self, entries: Iterable[str], now: float) -> list[RunningReport]:
+    def fresh_reports(self, entries: Iterable[str], now: float) -> list[RunningReport]:
         """Return the fresh reports of some entries."""
         self._forget_stale(now)
-        found = [self.heard[name] for name in entries if name in self.heard]
-        return [heard.report_at(now) for heard in found]
+        found = [self.received[name] for name in entries if name in self.received]
+        return [received.report_at(now) for received in found]
 
-    def elsewhere(self, target: str, now: float) -> int:
+    def running_elsewhere(self, target: str, now: float) -> int:
         """Return the attempts that other entries have running at a target."""
         self._forget_stale(now)
         return self.totals[target]
 
-    def elsewhere_at(self, targets: Iterable[str], now: float) -> int:
+    def total_running_elsewhere(self, targets: Iterable[str], now: float) -> int:
         """Return the attempts that other entries have running at some targets."""
         self._forget_stale(now)
         return sum(self.totals.get(target, 0) for target in targets)
 
-    def without(self, entry: str, own: RunningReport, now: float) -> RunningReport:
+    def sum_without(self, entry: str, own: RunningReport, now: float) -> RunningReport:
         """
         Return what all others than one entry have running, with ``own`` among them.
 
-        >>> board = RunningBoard()
-        >>> board.put("entry-2", RunningReport({"t-1": 3, "t-2": 1}), now=10.0)
-        >>> board.put("entry-3", RunningReport({"t-1": 2}), now=10.0)
-        >>> board.without("entry-2", RunningReport({"t-1": 1}), now=10.0).running
+        >>> reports = PeerReports()
+        >>> reports.put("entry-2", RunningReport({"t-1": 3, "t-2": 1}), now=10.0)
+        >>> reports.put("entry-3", RunningReport({"t-1": 2}), now=10.0)
+        >>> reports.sum_without("entry-2", RunningReport({"t-1": 1}), now=10.0).running
         {'t-1': 3}
         """
         self._forget_stale(now)
-        heard = self.heard.get(entry)
+        received = self.received.get(entry)
         running = self.totals.copy()
         running.update(own.running)
-        if heard is not None:
-            running.subtract(heard.report.running)
-        groups = {name for one in self.heard.values() for name in one.report.each}
-        each = {name: self.each(name, now) or 0.0 for name in groups} | own.each
-        others = [r.report_at(now) for name, r in self.heard.items() if name != entry]
+        if received is not None:
+            running.subtract(received.report.running)
+        groups = {name for one in self.received.values() for name in one.report.each}
+        each = {name: self.request_cost(name, now) or 0.0 for name in groups} | own.each
+        others = [
+            r.report_at(now) for name, r in self.received.items() if name != entry
+        ]
         limits = newest_words([own.limits, *(one.limits for one in others)])
         crashes = all_words([own.crashes, *(one.crashes for one in others)])
         leaving = merge_names([own.leaving, *(one.leaving for one in others)])
         backoffs = longest_backoffs([own.backoffs, *(one.backoffs for one in others)])
         return RunningReport(dict(+running), each, limits, crashes, leaving, backoffs)
 
-    def each(self, group: str, now: float) -> float | None:
+    def request_cost(self, group: str, now: float) -> float | None:
         """Return what others see that a running request adds to a pass."""
         self._forget_stale(now)
         seen = [
-            heard.report.each[group]
-            for heard in self.heard.values()
-            if group in heard.report.each
+            received.report.each[group]
+            for received in self.received.values()
+            if group in received.report.each
         ]
         return sum(seen) / len(seen) if seen else None
 
     def _forget_stale(self, now: float) -> None:
         """Drop entries that have fallen silent, looking now and then."""
-        if now < self.checked + CHECK_SECONDS:
+        if now < self.last_check + STALE_CHECK_INTERVAL_SECONDS:
             return
-        self.checked = now
+        self.last_check = now
         for target in [t for t, until in self.backoff_until.items() if until <= now]:
             del self.backoff_until[target]
-        for entry, heard in list(self.heard.items()):
-            if now > heard.until:
+        for entry, received in list(self.received.items()):
+            if now > received.until:
                 self.drop(entry)
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -77,10 +77,10 @@
             arrived=arrived,
             deadline=arrived
             + (timeout if patience is None else min(patience, timeout)),
-            patience=patience,
+            caller_timeout=patience,
             prompt_tokens=prompt,
             answer_tokens=answer,
-            resumes_after=_event_id(headers.get(self.names.resume_from)),
+            last_event_id=_event_id(headers.get(self.names.resume_from)),
             digest=request_digest(account.name, call.method, call.raw_target, body),
         )
 
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -12,7 +12,6 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.http.app import AnswerAborted
 from briarthread_common.http.call import Call
-from briarthread_entry.direct.answer_relay import AnswerRelay
 from briarthread_entry.direct.attempt_notes import SERVER_ERROR, AttemptNotes
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
@@ -25,16 +24,17 @@
 from briarthread_entry.direct.crash_book import CrashBook
 from briarthread_entry.direct.crash_rule import LAST_REPEATED, MOST_CRASHES
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.final_error import final_error, repeat_reason
-from briarthread_entry.direct.group_gate import GroupGate
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.final_error import final_error, retry_reason
+from briarthread_entry.direct.group_admission import GroupAdmission
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
+from briarthread_entry.direct.response_relay import ResponseRelay
 from briarthread_entry.direct.shared_retry_budget import SharedRetryBudget
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_chooser import TargetChooser
 from briarthread_entry.direct.target_state import DirectTargetState
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
-UNWRITTEN_TRIES = 3
+MAX_FAILED_ATTEMPTS = 3
 """Targets tried in a row that did not even take the connection."""
 
 
@@ -53,8 +53,8 @@
         sender: AttemptSender,
         crashes: CrashBook,
         budget: SharedRetryBudget,
-        gate: GroupGate,
-        rooms: GroupRooms,
+        admission: GroupAdmission,
+        capacity: GroupCapacityTracker,
         slow_ranks: SlowRanks,
         metrics: Metrics,
         events: EventLog,
@@ -64,11 +64,11 @@
         self.sender = sender
         self.crashes = crashes
         self.budget = budget
-        self.gate = gate
-        self.rooms = rooms
+        self.admission = admission
+        self.capacity = capacity
         self.slow_ranks = slow_ranks
         self.metrics = metrics
-        self.notes = AttemptNotes(rooms, crashes, sender.backoffs, events)
+        self.notes = AttemptNotes(capacity, crashes, sender.backoffs, events)
         self.rng = rng
 
     async def run(self, request: DirectRequest, call: Call) -> None:
@@ -78,7 +78,7 @@
                 ErrorKind.CRASHES_TARGETS,
                 f"request {request.digest} crashed {MOST_CRASHES} targets",
             )
-        relay = AnswerRelay(call, request.resumes_after)
+        relay = ResponseRelay(call, request.last_event_id)
         failures: list[DirectOutcome] = []
         try:
             with anyio.fail_after(request.deadline - anyio.current_time()):
@@ -92,7 +92,7 @@
         self,
         request: DirectRequest,
         call: Call,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
         failures: list[DirectOutcome],
     ) -> None:
         tried: set[str] = set()
@@ -100,7 +100,7 @@
         self.budget.note_request(request.service.name, anyio.current_time())
         groups = None
         if request.service.engine is not None:
-            groups = await self.gate.enter(request)
+            groups = await self.admission.admit(request)
         while True:
             state = await self._choose(request, tried, groups, failures)
             if state is None:
@@ -147,19 +147,19 @@
         """
         if request.service.engine is None:
             return None
-        found = self.rooms.open_groups(request, anyio.current_time())
-        return found - {self.rooms.roster.of(failed.target)} or None
+        found = self.capacity.open_groups(request, anyio.current_time())
+        return found - {self.capacity.membership.group_of(failed.target)} or None
 
     async def _attempt(
         self,
         request: DirectRequest,
         state: DirectTargetState,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
         leaves: bool,
     ) -> DirectOutcome:
         started = anyio.current_time()
-        group = self.rooms.roster.of(state.target)
-        relay.begin_run(partial(self.rooms.note_event, request.service, group))
+        group = self.capacity.membership.group_of(state.target)
+        relay.begin_attempt(partial(self.capacity.note_event, request.service, group))
         self.crashes.begin(request.digest, state.target.name)
         state.running += 1
         state.prompt_tokens += request.prompt_tokens
@@ -172,7 +172,9 @@
             state.running -= 1
             state.prompt_tokens -= request.prompt_tokens
             self.crashes.end(request.digest, state.target.name)
-        self.notes.note(request, state, outcome, started, relay.run_event_at is None)
+        self.notes.note(
+            request, state, outcome, started, relay.last_attempt_event_at is None
+        )
         return outcome
 
     def _may_leave(self, request: DirectRequest, sent: int) -> bool:
@@ -181,14 +183,14 @@
         return again and request.service.engine is not None and request.route.repeatable
 
     async def _send_or_leave(
-        self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
+        self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
         """Send an attempt, and break it off when its rank turns slow."""
         left: list[LeftSlowRank] = []
 
         def leave(factor: float) -> None:
             outcome = LeftSlowRank(factor)
-            if self._spend_repeat(request, repeat_reason(outcome)):
+            if self._spend_repeat(request, retry_reason(outcome)):
                 left.append(outcome)
                 scope.cancel()
 
@@ -211,7 +213,7 @@
         outcome = failures[-1]
         if isinstance(outcome, LeftSlowRank):
             return True
-        if sent >= request.route.max_attempts or len(failures) >= UNWRITTEN_TRIES:
+        if sent >= request.route.max_attempts or len(failures) >= MAX_FAILED_ATTEMPTS:
             return False
         if self.crashes.count(request.digest) > LAST_REPEATED:
             return False
@@ -221,7 +223,7 @@
             return True
         if not isinstance(outcome, ProvedNotRun) and not request.route.repeatable:
             return False
-        return self._spend_repeat(request, repeat_reason(outcome))
+        return self._spend_repeat(request, retry_reason(outcome))
 
     def _spend_repeat(self, request: DirectRequest, reason: str) -> bool:
         """Take a repeat out of the budget and count it; tell whether there was one."""
@@ -246,7 +248,7 @@
         failures: list[DirectOutcome],
         closed: TargetsClosed | None = None,
     ) -> RequestError:
-        left = request.caller_left(anyio.current_time())
+        left = request.caller_time_left(anyio.current_time())
         return final_error(failures, left, self.rng.random(), closed)
 
 
--- a/packages/entry/src/briarthread_entry/direct/answer_relay.py
+++ b/packages/entry/src/briarthread_entry/direct/response_relay.py
@@ -9,10 +9,10 @@
 from briarthread_common.http.call import Call
 from briarthread_entry.direct.event_reader import StreamEvent
 
-Fields = tuple[tuple[str, str], ...]
+HeaderFields = tuple[tuple[str, str], ...]
 
 
-class AnswerRelay:
+class ResponseRelay:
     """
     Pass an answer on to the caller, each event of a stream exactly once.
 
@@ -27,43 +27,43 @@
     def __init__(
         self,
         call: Call,
-        resumes_after: int | None,
+        last_event_id: int | None,
     ) -> None:
         self.call = call
-        self.last_id = resumes_after
+        self.last_event_id = last_event_id
         self.on_event: Callable[[float | None], None] = _ignore
-        self.run_event_at: float | None = None
+        self.last_attempt_event_at: float | None = None
         self.first_at: float | None = None
         self.last_at: float | None = None
         self.longest_pause = 0.0
 
-    def begin_run(self, on_event: Callable[[float | None], None]) -> None:
+    def begin_attempt(self, on_event: Callable[[float | None], None]) -> None:
         """Have ``on_event`` told of the events of a run that begins now."""
         self.on_event = on_event
-        self.run_event_at = None
+        self.last_attempt_event_at = None
 
-    async def pass_event(
-        self, status: int, headers: Fields, event: StreamEvent
+    async def forward_event(
+        self, status: int, headers: HeaderFields, event: StreamEvent
     ) -> None:
         """Send an event on unless the caller has it."""
-        if event.id is not None and self.last_id is not None:
-            if event.id <= self.last_id:
+        if event.id is not None and self.last_event_id is not None:
+            if event.id <= self.last_event_id:
                 return
-            if event.id > self.last_id + 1:
+            if event.id > self.last_event_id + 1:
                 raise RequestError(
                     ErrorKind.TARGET_FAILED,
-                    f"event {event.id} came after event {self.last_id}",
+                    f"event {event.id} came after event {self.last_event_id}",
                 )
         if not self.call.started:
             await self.call.start(status, headers)
         await self.call.send_chunk(event.raw)
-        self.on_event(self.run_event_at)
-        self.run_event_at = anyio.current_time()
-        self._note_time(self.run_event_at)
+        self.on_event(self.last_attempt_event_at)
+        self.last_attempt_event_at = anyio.current_time()
+        self._note_time(self.last_attempt_event_at)
         if event.id is not None:
-            self.last_id = event.id
+            self.last_event_id = event.id
 
-    async def finish(self, status: int, headers: Fields) -> None:
+    async def finish(self, status: int, headers: HeaderFields) -> None:
         """End the answer as complete."""
         if not self.call.started:
             await self.call.start(status, headers)
--- a/packages/entry/src/briarthread_entry/direct/running_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/running_watcher.py
@@ -13,17 +13,17 @@
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
 from briarthread_common.utils.passed_over import PassedOver
-from briarthread_entry.direct.followed import (
-    BlockFollowed,
-    EntryFollowed,
-    Followed,
-    OthersFollowed,
-    label_of,
-    path_to,
-    whom_to_follow,
+from briarthread_entry.direct.peer_reports import PeerReports
+from briarthread_entry.direct.report_blocks import build_blocks
+from briarthread_entry.direct.subscriptions import (
+    BlockSubscription,
+    EntrySubscription,
+    OthersSubscription,
+    Subscription,
+    report_path,
+    report_source,
+    wanted_subscriptions,
 )
-from briarthread_entry.direct.report_blocks import blocks_of
-from briarthread_entry.direct.running_board import RunningBoard
 
 REFRESH_SECONDS = 1.0
 """How often the list of entries is looked at for new ones."""
@@ -47,19 +47,19 @@
         self,
         name: str,
         directory: Directory,
-        board: RunningBoard,
+        peer_reports: PeerReports,
         channel: Channel,
         rng: random.Random,
     ) -> None:
         self.name = name
         self.directory = directory
-        self.board = board
+        self.peer_reports = peer_reports
         self.channel = channel
         self.rng = rng
-        self.followed: dict[Followed, anyio.CancelScope] = {}
-        self.readers = 0
-        self.lost = PassedOver(PASSED_OVER_SECONDS)
-        self.asked = anyio.Event()
+        self.subscriptions: dict[Subscription, anyio.CancelScope] = {}
+        self.subscribers = 0
+        self.unresponsive = PassedOver(PASSED_OVER_SECONDS)
+        self.collector_requested = anyio.Event()
 
     async def run(self) -> None:
         """Follow the listed entries until cancelled."""
@@ -67,40 +67,44 @@
             while True:
                 self._refresh(tasks)
                 with anyio.move_on_after(REFRESH_SECONDS):
-                    await self.asked.wait()
-                self.asked = anyio.Event()
+                    await self.collector_requested.wait()
+                self.collector_requested = anyio.Event()
 
-    def note_reader(self, change: int) -> None:
+    def change_subscribers(self, change: int) -> None:
         """Record that one more, or one less, takes this entry for a collector."""
-        self.readers += change
-        if change > 0 and self.readers == 1:
-            self.asked.set()
+        self.subscribers += change
+        if change > 0 and self.subscribers == 1:
+            self.collector_requested.set()
 
-    def collects(self) -> bool:
+    def is_collector(self) -> bool:
         """Tell whether this entry adds up what the others have running."""
-        return not any(isinstance(one, OthersFollowed) for one in self.followed)
+        return not any(
+            isinstance(one, OthersSubscription) for one in self.subscriptions
+        )
 
-    def members(self) -> list[str]:
+    def direct_peers(self) -> list[str]:
         """Return the entries that are followed for what they have running."""
-        return [one.name for one in self.followed if isinstance(one, EntryFollowed)]
+        return [
+            one.name for one in self.subscriptions if isinstance(one, EntrySubscription)
+        ]
 
     def _entries(self) -> dict[str, Instance]:
         return self.directory.of_role(InstanceRole.ENTRY)
 
     def _refresh(self, tasks: TaskGroup) -> None:
-        blocks = blocks_of(self._entries())
-        wanted = whom_to_follow(self.name, blocks, asked=self.readers > 0)
-        for followed in list(self.followed):
+        blocks = build_blocks(self._entries())
+        wanted = wanted_subscriptions(self.name, blocks, requested=self.subscribers > 0)
+        for followed in list(self.subscriptions):
             if followed not in wanted:
-                self.followed.pop(followed).cancel()
-                self.board.drop(label_of(followed))
+                self.subscriptions.pop(followed).cancel()
+                self.peer_reports.drop(report_source(followed))
         for followed in wanted:
-            if followed not in self.followed:
-                scope = self.followed[followed] = anyio.CancelScope()
+            if followed not in self.subscriptions:
+                scope = self.subscriptions[followed] = anyio.CancelScope()
                 tasks.start_soon(self._keep_following, followed, scope)
 
     async def _keep_following(
-        self, followed: Followed, scope: anyio.CancelScope
+        self, followed: Subscription, scope: anyio.CancelScope
     ) -> None:
         with scope:
             while True:
@@ -110,33 +114,33 @@
                 pause = NEXT_SECONDS if self._sound(followed) else RETRY_SECONDS
                 await anyio.sleep(pause * self.rng.uniform(0.5, 1.5))
 
-    def _choose(self, followed: Followed) -> Instance | None:
+    def _choose(self, followed: Subscription) -> Instance | None:
         """Return the entry to call; of a block the first that did not fail lately."""
         entries = self._entries()
         names = self._sound(followed) or self._candidates(followed)
         return entries.get(names[0]) if names else None
 
-    def _candidates(self, followed: Followed) -> list[str]:
+    def _candidates(self, followed: Subscription) -> list[str]:
         """Return the entries that can tell what is wanted, in the order of asking."""
         match followed:
-            case EntryFollowed(name):
+            case EntrySubscription(name):
                 return [name]
-            case BlockFollowed(label) | OthersFollowed(label):
-                block = blocks_of(self._entries()).get(label, ())
+            case BlockSubscription(label) | OthersSubscription(label):
+                block = build_blocks(self._entries()).get(label, ())
                 return [name for name in block if name != self.name]
 
-    def _sound(self, followed: Followed) -> list[str]:
-        return self.lost.others(self._candidates(followed))
+    def _sound(self, followed: Subscription) -> list[str]:
+        return self.unresponsive.others(self._candidates(followed))
 
-    async def _follow_quietly(self, followed: Followed, row: Instance) -> None:
-        path = path_to(followed, self.name)
-        alone = isinstance(followed, EntryFollowed)
+    async def _follow_quietly(self, followed: Subscription, row: Instance) -> None:
+        path = report_path(followed, self.name)
+        alone = isinstance(followed, EntrySubscription)
         kept = SILENCE_SECONDS if alone else KEPT_SECONDS
         reports = follow_reports(self.channel, row.address, path, RunningReport)
         try:
             async for report in reports:
                 now = anyio.current_time()
-                self.board.put(label_of(followed), report, now, kept)
+                self.peer_reports.put(report_source(followed), report, now, kept)
         except ChannelError as error:
-            self.lost.note(row.name)
+            self.unresponsive.note(row.name)
             logger.info("running: {} at {} lost: {}", followed, row.name, error)
--- a/packages/entry/src/briarthread_entry/direct/slow_ranks.py
+++ b/packages/entry/src/briarthread_entry/direct/slow_ranks.py
@@ -14,8 +14,8 @@
 
 from briarthread_common.direct.group_id import GroupId
 from briarthread_entry.direct.choose_target import without_slow
-from briarthread_entry.direct.group_board import GroupBoard
-from briarthread_entry.direct.group_roster import GroupRoster
+from briarthread_entry.direct.group_membership import GroupMembership
+from briarthread_entry.direct.group_reports import GroupReports
 from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_state import DirectTargetState
 
@@ -28,7 +28,7 @@
     """Tell which ranks new requests may go to, and when to leave one."""
 
     def __init__(
-        self, book: TargetBook, roster: GroupRoster, groups: GroupBoard
+        self, book: TargetBook, roster: GroupMembership, groups: GroupReports
     ) -> None:
         self.book = book
         self.roster = roster
@@ -38,7 +38,7 @@
     def usable(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the ranks of a service that new requests may go to."""
         found: list[DirectTargetState] = []
-        by_group = self.roster.split(self.book.of_service(service, now))
+        by_group = self.roster.by_group(self.book.of_service(service, now))
         for group, states in by_group.items():
             found += self._usable_of(group, states, now)
         return found
@@ -46,7 +46,7 @@
     def _usable_of(
         self, group: GroupId, states: list[DirectTargetState], now: float
     ) -> list[DirectTargetState]:
-        if not self.groups.any_slow(group, now):
+        if not self.groups.has_slow_rank(group, now):
             return states
         return without_slow(
             states, lambda address: self.groups.slowdown(group, address, now)
@@ -83,7 +83,7 @@
     def _leave_factor(self, attempt: "_Watched") -> float | None:
         now = anyio.current_time()
         service, state = attempt.service, attempt.state
-        group = self.roster.of(state.target)
+        group = self.roster.group_of(state.target)
         factor = self.groups.slowdown(group, state.target.address, now)
         if factor < LEAVE_FACTOR or state in self.usable(service, now):
             return None
--- a/packages/entry/src/briarthread_entry/direct/followed.py
+++ b/packages/entry/src/briarthread_entry/direct/subscriptions.py
@@ -9,61 +9,63 @@
     RUNNING_PATH,
 )
 from briarthread_common.utils.hashing import stable_hash
-from briarthread_entry.direct.report_blocks import MESH, block_of
+from briarthread_entry.direct.report_blocks import MAX_MESH_ENTRIES, find_block
 
 
 @dataclass(frozen=True, slots=True)
-class EntryFollowed:
+class EntrySubscription:
     """Another entry, for what it has running itself."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class BlockFollowed:
+class BlockSubscription:
     """Another block, for the sum of its entries."""
 
     label: str
 
 
 @dataclass(frozen=True, slots=True)
-class OthersFollowed:
+class OthersSubscription:
     """The collector of the own block, for the sum of all other entries."""
 
     label: str
 
 
-Followed = EntryFollowed | BlockFollowed | OthersFollowed
+Subscription = EntrySubscription | BlockSubscription | OthersSubscription
 
 
-def whom_to_follow(
-    name: str, blocks: Mapping[str, tuple[str, ...]], asked: bool
-) -> set[Followed]:
+def wanted_subscriptions(
+    name: str, blocks: Mapping[str, tuple[str, ...]], requested: bool
+) -> set[Subscription]:
     """
     Return whom an entry follows.
 
-    ``asked`` tells that others take it for their collector: one that cannot
+    ``requested`` tells that others take it for their collector: one that cannot
     reach the first of its block turns to the next. One that is not listed yet
     asks the collector of any block.
 
     >>> blocks = {"x": ("a", "b", "c"), "y": tuple("defghijklm")}
-    >>> whom_to_follow("b", blocks, asked=False)
-    {OthersFollowed(label='x')}
-    >>> len(whom_to_follow("a", blocks, asked=False))
+    >>> wanted_subscriptions("b", blocks, requested=False)
+    {OthersSubscription(label='x')}
+    >>> len(wanted_subscriptions("a", blocks, requested=False))
     3
-    >>> len(whom_to_follow("new", blocks, asked=False))
+    >>> len(wanted_subscriptions("new", blocks, requested=False))
     1
     """
-    own = block_of(name, blocks) or _any_block(name, blocks)
+    own = find_block(name, blocks) or _any_block(name, blocks)
     if own is None:
         return set()
     block = blocks[own]
-    members: set[Followed] = {EntryFollowed(other) for other in block if other != name}
-    if sum(len(others) for others in blocks.values()) <= MESH:
+    members: set[Subscription] = {
+        EntrySubscription(other) for other in block if other != name
+    }
+    if sum(len(others) for others in blocks.values()) <= MAX_MESH_ENTRIES:
         return members
-    if name not in block or (block[0] != name and not asked):
-        return {OthersFollowed(own)}
-    return members | {BlockFollowed(label) for label in blocks if label != own}
+    if name not in block or (block[0] != name and not requested):
+        return {OthersSubscription(own)}
+    return members | {BlockSubscription(label) for label in blocks if label != own}
 
 
 def _any_block(name: str, blocks: Mapping[str, tuple[str, ...]]) -> str | None:
@@ -71,23 +73,23 @@
     return labels[stable_hash("block", name) % len(labels)] if labels else None
 
 
-def label_of(followed: Followed) -> str:
+def report_source(followed: Subscription) -> str:
     """Return the name under which the board keeps what was heard."""
     match followed:
-        case EntryFollowed(name):
+        case EntrySubscription(name):
             return name
-        case BlockFollowed(label):
+        case BlockSubscription(label):
             return f"block {label}"
-        case OthersFollowed():
+        case OthersSubscription():
             return "others"
 
 
-def path_to(followed: Followed, own: str) -> str:
+def report_path(followed: Subscription, own: str) -> str:
     """Return where the reports of one that is followed are asked for."""
     match followed:
-        case EntryFollowed():
+        case EntrySubscription():
             return RUNNING_PATH
-        case BlockFollowed():
+        case BlockSubscription():
             return BLOCK_PATH
-        case OthersFollowed():
+        case OthersSubscription():
             return f"{OTHERS_PATH}/{own}"
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -9,11 +9,11 @@
 from briarthread_entry.direct.choose_target import choose_plain, choose_rank
 from briarthread_entry.direct.crash_book import CrashBook
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.group_gate import LONGEST_WAIT
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.group_admission import MAX_WAIT_SECONDS
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
 from briarthread_entry.direct.home_slots import HomeSlots
 from briarthread_entry.direct.limit_tokens import LimitTokens
-from briarthread_entry.direct.running_board import RunningBoard
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_book import TargetBook
@@ -40,8 +40,8 @@
         self,
         data_centre: str,
         book: TargetBook,
-        board: RunningBoard,
-        rooms: GroupRooms,
+        board: PeerReports,
+        rooms: GroupCapacityTracker,
         slow_ranks: SlowRanks,
         home: HomeSlots,
         tokens: LimitTokens,
@@ -115,14 +115,14 @@
         preferred = [
             state
             for state in states
-            if not self.board.backing_off(state.target.name, now)
+            if not self.board.is_backing_off(state.target.name, now)
             and self._total_running(state, now) < state.target.slots
         ]
         return preferred or states
 
     def _total_running(self, state: DirectTargetState, now: float) -> int:
         """Return the attempts that all entries have running at a target."""
-        return state.running + self.board.elsewhere(state.target.name, now)
+        return state.running + self.board.running_elsewhere(state.target.name, now)
 
     async def _wait(
         self, states: list[DirectTargetState], now: float, wait_left: float
@@ -151,7 +151,7 @@
 
     def _wait_until(self, request: DirectRequest) -> float:
         aim = request.route.aim * AIM_SHARE
-        return request.arrived + min(aim, LONGEST_WAIT)
+        return request.arrived + min(aim, MAX_WAIT_SECONDS)
 
     def _candidates(
         self,
@@ -174,7 +174,7 @@
         service = request.service.name
 
         def elsewhere(name: str) -> int:
-            return self.board.elsewhere(name, now)
+            return self.board.running_elsewhere(name, now)
 
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
@@ -199,5 +199,5 @@
         """Return the ranks of some groups, or where there are none, all of them."""
         if groups is None:
             return states
-        of = self.rooms.roster.of
+        of = self.rooms.membership.group_of
         return [state for state in states if of(state.target) in groups] or states
--- a/packages/entry/src/briarthread_entry/direct/waiting_place.py
+++ b/packages/entry/src/briarthread_entry/direct/waiting_place.py
@@ -13,7 +13,7 @@
     True
     """
 
-    returning: bool
+    is_client_retry: bool
     priority: int
     arrived: float
     request: str
--- a/packages/measure/src/briarthread_measure/group_choice_run.py
+++ b/packages/measure/src/briarthread_measure/group_choice_run.py
@@ -20,9 +20,12 @@
 from loguru import logger
 
 from briarthread_common.direct.group_id import GroupId
-from briarthread_entry.direct.admission_rule import GroupRoom
+from briarthread_entry.direct.admission_rule import GroupCapacity
 from briarthread_entry.direct.direct_entry import DirectEntry
-from briarthread_entry.direct.group_rooms import Rooms, open_of
+from briarthread_entry.direct.group_capacity import (
+    GroupCapacities,
+    groups_with_capacity,
+)
 from briarthread_measure import group_ways
 from briarthread_measure.ways_table import Play, print_ways
 from briarthread_standins.load_day import LoadDay
@@ -58,13 +61,13 @@
 
 
 def outlook(
-    entry: DirectEntry, group: GroupId, room: GroupRoom
+    entry: DirectEntry, group: GroupId, room: GroupCapacity
 ) -> group_ways.GroupOutlook:
     """Return what an entry expects of a group that gets one request more."""
-    meter = entry.rooms.meters[group]
-    each = meter.each(anyio.current_time()) or meter.usual
-    next_pass = meter.fixed + each * (room.running + 1)
-    return group_ways.GroupOutlook(room.free, room.most, next_pass)
+    meter = entry.capacity.meters[group]
+    each = meter.request_cost(anyio.current_time()) or meter.initial_cost
+    next_pass = meter.fixed_seconds + each * (room.running + 1)
+    return group_ways.GroupOutlook(room.free, room.limit, next_pass)
 
 
 def worth_of(play: Play) -> float:
@@ -72,15 +75,16 @@
     logger.remove()
 
     def prepare(entry: DirectEntry) -> None:
-        def choose(rooms: Rooms) -> set[GroupId]:
+        def choose(rooms: GroupCapacities) -> set[GroupId]:
             with_room = {
-                group: outlook(entry, group, rooms[group]) for group in open_of(rooms)
+                group: outlook(entry, group, rooms[group])
+                for group in groups_with_capacity(rooms)
             }
             if not with_room:
                 return set(rooms)
-            return WAYS[play.way](with_room, entry.gate.rng)
+            return WAYS[play.way](with_room, entry.admission.rng)
 
-        entry.gate._choose = choose
+        entry.admission._allowed_groups = choose
 
     day = replace(LOADS[play.load], seed=play.seed, told=play.way != NOT_TOLD)
     return play_load(day, prepare).worth
--- a/packages/measure/src/briarthread_measure/left_out.py
+++ b/packages/measure/src/briarthread_measure/left_out.py
@@ -7,10 +7,10 @@
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
-from briarthread_entry.direct import admission_rule, group_gate, group_health
+from briarthread_entry.direct import admission_rule, group_admission, group_health
 from briarthread_entry.direct.direct_entry import DirectEntry
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.group_rooms import Rooms
+from briarthread_entry.direct.group_capacity import GroupCapacities
 from briarthread_standins.play_load import ENTRIES
 
 FIXED_STREAMS = 36
@@ -50,7 +50,7 @@
     async def enter(request: DirectRequest) -> None:
         return
 
-    entry.gate.enter = enter
+    entry.admission.admit = enter
 
 
 def fixed_limit(entry: DirectEntry) -> None:
@@ -61,22 +61,22 @@
         if running >= FIXED_STREAMS // len(ENTRIES):
             raise RequestError(ErrorKind.OVERLOADED, "full", retry_after=1.0)
 
-    entry.gate.enter = enter
+    entry.admission.admit = enter
 
 
 def all_slots(entry: DirectEntry) -> None:
     """Take every slot for room, however long passes get."""
-    room_of = entry.gate._room
+    room_of = entry.admission._combined_capacity
 
-    def room(rooms: Rooms) -> admission_rule.GroupRoom:
-        return replace(room_of(rooms), most=FIXED_STREAMS)
+    def room(rooms: GroupCapacities) -> admission_rule.GroupCapacity:
+        return replace(room_of(rooms), limit=FIXED_STREAMS)
 
-    entry.gate._room = room
+    entry.admission._combined_capacity = room
 
 
 def no_wait(entry: DirectEntry) -> None:
     """Let nobody wait for room who can still be in time."""
-    entry.gate._patience = lambda request: 0.0
+    entry.admission._max_wait = lambda request: 0.0
 
 
 def short_wait(entry: DirectEntry) -> None:
@@ -85,23 +85,23 @@
     def wait_until(request: DirectRequest, place: object, patience: float) -> float:
         return request.arrived + patience
 
-    entry.gate._wait_until = wait_until
+    entry.admission._wait_deadline = wait_until
 
 
 def no_returns(entry: DirectEntry) -> None:
     """Tell nobody who came back from a new caller."""
-    entry.gate.returns.is_return = lambda route, time_left: False
+    entry.admission.retry_detector.is_return = lambda route, time_left: False
 
 
 def own_sums(entry: DirectEntry) -> None:
     """Count what runs from this entry only."""
-    entry.board.elsewhere = lambda target, now: 0
-    entry.board.elsewhere_at = lambda targets, now: 0
+    entry.peer_reports.running_elsewhere = lambda target, now: 0
+    entry.peer_reports.total_running_elsewhere = lambda targets, now: 0
 
 
 def at_once(time_left: float, pick: float) -> float:
     """Have everyone come back after the shortest pause."""
-    return min(admission_rule.EARLIEST_RETURN, max(time_left, 0.0))
+    return min(admission_rule.MIN_RETRY_AFTER_SECONDS, max(time_left, 0.0))
 
 
 def always_send(
@@ -117,16 +117,28 @@
     LeftOut("baseline: fixed limit", prepare=fixed_limit),
     LeftOut("without the predicted pass", prepare=all_slots),
     LeftOut("without waiting for room", prepare=no_wait),
-    LeftOut("without room for new callers", ((admission_rule, "YIELDED_SHARE", 0.0),)),
+    LeftOut(
+        "without room for new callers", ((admission_rule, "NEW_CALLER_RESERVE", 0.0),)
+    ),
     LeftOut("without telling who came back", prepare=no_returns),
     LeftOut("without waits of those who came back", prepare=short_wait),
-    LeftOut("without spread returns", ((admission_rule, "spread_return", at_once),)),
+    LeftOut(
+        "without spread returns", ((admission_rule, "spread_retry_after", at_once),)
+    ),
     LeftOut("without sums of all entries", prepare=own_sums),
     LeftOut(
         "without refusing for a group that is away",
         ((group_health.GroupHealth, "may_send", always_send),),
     ),
-    LeftOut("outage expected to end at once", ((group_health, "USUAL_OUTAGE", 0.0),)),
-    LeftOut("outage expected never to end", ((group_health, "USUAL_OUTAGE", ALWAYS),)),
-    LeftOut("longest wait for room 0.1 s", ((group_gate, "LONGEST_WAIT", 0.1),)),
+    LeftOut(
+        "outage expected to end at once",
+        ((group_health, "TYPICAL_OUTAGE_SECONDS", 0.0),),
+    ),
+    LeftOut(
+        "outage expected never to end",
+        ((group_health, "TYPICAL_OUTAGE_SECONDS", ALWAYS),),
+    ),
+    LeftOut(
+        "longest wait for room 0.1 s", ((group_admission, "MAX_WAIT_SECONDS", 0.1),)
+    ),
 )
--- a/tests/direct/test_group_word.py
+++ b/tests/direct/test_group_word.py
@@ -14,7 +14,7 @@
 def say(world: DirectWorld, serving: bool) -> None:
     """Have an agent say whether the group serves."""
     entry = world.entries["entry-1"]
-    entry.groups.put(GroupId(MODEL), GroupReport(serving), anyio.current_time())
+    entry.group_reports.put(GroupId(MODEL), GroupReport(serving), anyio.current_time())
 
 
 async def statuses(world: DirectWorld, serving: bool, number: int) -> list[int]:
--- a/tests/direct/test_left_out.py
+++ b/tests/direct/test_left_out.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from briarthread_entry.direct import admission_rule, group_gate, group_health
+from briarthread_entry.direct import admission_rule, group_admission, group_health
 from briarthread_measure.left_out import VARIANTS, LeftOut
 from briarthread_standins.load_day import LoadDay
 from briarthread_standins.play_load import play_load
@@ -13,10 +13,10 @@
 def shipped() -> list[object]:
     """Return what the variants replace."""
     return [
-        admission_rule.YIELDED_SHARE,
-        admission_rule.spread_return,
-        group_gate.LONGEST_WAIT,
-        group_health.USUAL_OUTAGE,
+        admission_rule.NEW_CALLER_RESERVE,
+        admission_rule.spread_retry_after,
+        group_admission.MAX_WAIT_SECONDS,
+        group_health.TYPICAL_OUTAGE_SECONDS,
         group_health.GroupHealth.may_send,
     ]
 
--- a/tests/direct/test_pass_meter.py
+++ b/tests/direct/test_pass_meter.py
@@ -3,7 +3,10 @@
 import pytest
 from direct_builders import build_engine
 
-from briarthread_entry.direct.group_load import most_running, usual_each
+from briarthread_entry.direct.group_concurrency import (
+    initial_request_cost,
+    max_concurrency,
+)
 from briarthread_entry.direct.pass_meter import PassMeter
 
 RANKS, PAUSE_AIM = 12, 0.12
@@ -12,12 +15,14 @@
 def build_meter() -> PassMeter:
     """Return the meter of an entry that has just started."""
     engine = build_engine()
-    return PassMeter(engine.stride * engine.step_seconds, usual_each(engine, RANKS))
+    return PassMeter(
+        engine.stride * engine.step_seconds, initial_request_cost(engine, RANKS)
+    )
 
 
 def room(meter: PassMeter, now: float) -> int:
     """Return how many requests may run by what a meter knows."""
-    return most_running(RANKS, build_engine(), PAUSE_AIM, meter.each(now))
+    return max_concurrency(RANKS, build_engine(), PAUSE_AIM, meter.request_cost(now))
 
 
 def test_first_pauses_after_a_restart_do_not_close_the_group() -> None:
--- a/tests/direct/test_running_reports.py
+++ b/tests/direct/test_running_reports.py
@@ -5,7 +5,7 @@
 from direct_builders import MODEL, in_direct_world
 
 from briarthread_common.messages.running_report import RunningReport
-from briarthread_entry.direct.running_board import RunningBoard
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_standins.direct_world import DirectWorld
 
 CENTRES = ("palermo", "catania", "messina", "siracusa", "trapani")
@@ -17,7 +17,10 @@
     entry = world.entries[name]
     now = anyio.current_time()
     states = entry.book.of_service(MODEL, now)
-    return sum(s.running + entry.board.elsewhere(s.target.name, now) for s in states)
+    return sum(
+        s.running + entry.peer_reports.running_elsewhere(s.target.name, now)
+        for s in states
+    )
 
 
 @pytest.mark.parametrize(("number", "centres"), [(3, 1), (30, 1), (99, 5)])
@@ -45,7 +48,9 @@
 
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(2)
-        held = sorted(len(entry.watcher.followed) for entry in world.entries.values())
+        held = sorted(
+            len(entry.running_watcher.subscriptions) for entry in world.entries.values()
+        )
         assert held[: 99 - len(CENTRES)] == [1] * (99 - len(CENTRES))
         assert max(held) <= 24 + len(CENTRES)
 
@@ -81,7 +86,9 @@
             worker.event_pause, worker.pieces = 0.2, 100
         await anyio.sleep(2)
         collector = next(
-            name for name, one in world.entries.items() if len(one.watcher.followed) > 1
+            name
+            for name, one in world.entries.items()
+            if len(one.running_watcher.subscriptions) > 1
         )
         others = [name for name in names if name != collector]
         async with anyio.create_task_group() as tasks:
@@ -102,11 +109,14 @@
 
 
 def test_board_adds_up_what_changes_and_forgets_who_falls_silent() -> None:
-    board = RunningBoard()
+    board = PeerReports()
     board.put("entry-2", RunningReport({"t": 3, "u": 1}), now=1.0)
     board.put("entry-3", RunningReport({"t": 2}), now=1.2)
     board.put("entry-2", RunningReport({"t": 1}), now=1.4)
-    assert (board.elsewhere("t", 1.5), board.elsewhere("u", 1.5)) == (3, 0)
-    assert board.elsewhere("t", 2.8) == 1
+    assert (board.running_elsewhere("t", 1.5), board.running_elsewhere("u", 1.5)) == (
+        3,
+        0,
+    )
+    assert board.running_elsewhere("t", 2.8) == 1
     board.drop("entry-2")
-    assert board.elsewhere("t", 2.8) == 0
+    assert board.running_elsewhere("t", 2.8) == 0
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -9,7 +9,7 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.messages.group_report import GroupReport
 from briarthread_entry.direct.direct_entry import DirectEntry
-from briarthread_entry.direct.group_rooms import joined
+from briarthread_entry.direct.group_capacity import combined_capacity
 from briarthread_standins.direct_worker import WorkerFault
 from briarthread_standins.direct_world import DirectWorld
 from briarthread_standins.load_day import LoadDay
@@ -61,7 +61,7 @@
 def test_agents_word_on_one_group_closes_that_one_only() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
-        entry_of(world).groups.put(FIRST, GroupReport(False, group="g-0"), now)
+        entry_of(world).group_reports.put(FIRST, GroupReport(False, group="g-0"), now)
         replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(2)]
         assert [reply.status for reply in replies] == [200] * 2
         assert (seen(world, 0), seen(world, 1)) == (0, 2)
@@ -108,19 +108,19 @@
             worker.delay = 1.0
         for _ in range(8):
             await world.ask("entry-1", "/chat/1", SIZE)
-        meter = entry_of(world).rooms.meters[SECOND]
-        assert meter.seconds(anyio.current_time()) < 0.1
+        meter = entry_of(world).capacity.meters[SECOND]
+        assert meter.mean_seconds(anyio.current_time()) < 0.1
 
     in_two_groups(scenario)
 
 
 def test_room_is_that_of_the_groups_that_serve() -> None:
     async def scenario(world: DirectWorld) -> None:
-        rooms, request = entry_of(world).rooms, build_direct_request()
+        rooms, request = entry_of(world).capacity, build_direct_request()
         now = anyio.current_time()
-        both = joined(rooms.rooms(request, now)).most
+        both = combined_capacity(rooms.capacities(request, now)).limit
         rooms.note_refused(FIRST, "10.9.9.9:1")
-        assert joined(rooms.rooms(request, now)).most == both / 2
+        assert combined_capacity(rooms.capacities(request, now)).limit == both / 2
         assert rooms.open_groups(request, now) == {SECOND}
 
     in_two_groups(scenario)
@@ -132,10 +132,10 @@
         entry = entry_of(world)
         now = anyio.current_time()
         report = GroupReport(True, dict.fromkeys(hosts, 3.0), "g-0")
-        entry.groups.put(FIRST, report, now)
+        entry.group_reports.put(FIRST, report, now)
         assert len(entry.slow_ranks.usable(MODEL, now)) == RANKS
         one = GroupReport(True, {hosts[0]: 3.0}, "g-0")
-        entry.groups.put(FIRST, one, now)
+        entry.group_reports.put(FIRST, one, now)
         names = {s.target.name for s in entry.slow_ranks.usable(MODEL, now)}
         assert names == {f"rank-{n}" for n in range(1, RANKS)}
 
@@ -146,14 +146,14 @@
     async def scenario(world: DirectWorld) -> None:
         entry = entry_of(world)
         target = entry.book.states["rank-0"].target
-        assert entry.roster.of(target) == FIRST
+        assert entry.membership.group_of(target) == FIRST
         row = entry.directory.all()["side-0"]
         moved = type(row)(
             row.name, row.data_centre, row.address, row.role, MODEL, group="g-1"
         )
         await entry.store.list_instance(moved)
         await anyio.sleep(2)
-        assert entry.roster.of(target) == SECOND
+        assert entry.membership.group_of(target) == SECOND
 
     in_two_groups(scenario)
 
@@ -162,13 +162,13 @@
     async def scenario(world: DirectWorld) -> None:
         entry = entry_of(world)
         target = entry.book.states["rank-4"].target
-        assert entry.roster.of(target) == GroupId(MODEL)
+        assert entry.membership.group_of(target) == GroupId(MODEL)
         await list_groups(world, groups=1, ranks=2)
         await anyio.sleep(2)
-        assert entry.roster.of(target) == FIRST
+        assert entry.membership.group_of(target) == FIRST
         await list_groups(world, groups=2, ranks=2)
         await anyio.sleep(2)
-        assert entry.roster.of(target) == GroupId(MODEL)
+        assert entry.membership.group_of(target) == GroupId(MODEL)
 
     in_direct_world(scenario, ranks=RANKS)
 
--- a/tests/direct/test_slow_ranks.py
+++ b/tests/direct/test_slow_ranks.py
@@ -6,7 +6,7 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.messages.group_report import GroupReport
 from briarthread_common.messages.running_report import RunningReport
-from briarthread_entry.direct.group_rooms import joined
+from briarthread_entry.direct.group_capacity import combined_capacity
 from briarthread_standins.direct_world import DirectWorld, Reply
 
 SIZE = {"x-token-count": "100,200"}
@@ -18,7 +18,7 @@
     host = world.addresses[name].rpartition(":")[0]
     report = GroupReport(True, {host: factor})
     entry = world.entries["entry-1"]
-    entry.groups.put(GroupId(MODEL), report, anyio.current_time())
+    entry.group_reports.put(GroupId(MODEL), report, anyio.current_time())
 
 
 def runs(world: DirectWorld, request: str) -> dict[str, int]:
@@ -109,9 +109,11 @@
         entry = world.entries["entry-1"]
         report_slow(world, "rank-0", 4.0)
         now = anyio.current_time()
-        entry.board.put("entry-2", RunningReport({"rank-0": 6, "rank-1": 1}), now)
+        entry.peer_reports.put(
+            "entry-2", RunningReport({"rank-0": 6, "rank-1": 1}), now
+        )
         request = build_direct_request()
-        entry.rooms.note_event(request.service, GroupId(MODEL), None)
-        assert joined(entry.rooms.rooms(request, now)).running == 1
+        entry.capacity.note_event(request.service, GroupId(MODEL), None)
+        assert combined_capacity(entry.capacity.capacities(request, now)).running == 1
 
     in_direct_world(scenario)
--- a/tests/direct/test_target_backoffs.py
+++ b/tests/direct/test_target_backoffs.py
@@ -7,7 +7,7 @@
 from direct_builders import in_direct_world
 
 from briarthread_common.messages.running_report import RunningReport
-from briarthread_entry.direct.running_board import RunningBoard
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_standins.direct_config import DIARY
 from briarthread_standins.direct_worker import DirectWorker
 from briarthread_standins.direct_world import DirectWorld
@@ -113,7 +113,7 @@
         entry = world.entries["entry-1"]
         assert all(state.failures == 0 for state in entry.book.states.values())
         assert all(state.ejections == 0 for state in entry.book.states.values())
-        assert not any(health.broken for health in entry.rooms.healths.values())
+        assert not any(health.broken for health in entry.capacity.healths.values())
 
     in_direct_world(scenario)
 
@@ -184,7 +184,7 @@
         world.workers["diary-0"].refusals.refuse(now, now + 0.1, 10.0)
         await world.ask("entry-1", "/list/1", method="GET", body=None)
         await anyio.sleep(1.0)
-        assert world.entries["entry-2"].board.backing_off(
+        assert world.entries["entry-2"].peer_reports.is_backing_off(
             "diary-0", anyio.current_time()
         )
         reply = await world.ask("entry-2", "/list/1", method="GET", body=None)
@@ -194,11 +194,11 @@
 
 
 def test_reported_backoff_lasts_until_it_expires() -> None:
-    board = RunningBoard()
+    board = PeerReports()
     board.put("entry-2", RunningReport(backoffs={"t-1": 2.0}), now=10.0)
     board.put("entry-2", RunningReport(), now=10.5)
-    assert board.backing_off("t-1", now=11.9)
-    assert not board.backing_off("t-1", now=12.0)
-    second_board = RunningBoard()
+    assert board.is_backing_off("t-1", now=11.9)
+    assert not board.is_backing_off("t-1", now=12.0)
+    second_board = PeerReports()
     second_board.put("entry-2", RunningReport(backoffs={"t-1": 2.0}), now=10.0)
-    assert second_board.reports(["entry-2"], now=10.5)[0].backoffs == {"t-1": 1.5}
+    assert second_board.fresh_reports(["entry-2"], now=10.5)[0].backoffs == {"t-1": 1.5}
