--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -12,7 +12,6 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.http.app import AnswerAborted
 from briarthread_common.http.call import Call
-
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
     NotRun,
