--- a/packages/agent/src/briarthread_agent/agent.py
+++ b/packages/agent/src/briarthread_agent/agent.py
@@ -89,7 +89,7 @@
             rng,
         )
         self.freeze_detector = FreezeDetector(clock)
-        self.guard = ShareGuard(
+        self.share_guard = ShareGuard(
             clock,
             self.instance,
             self.incarnation,
@@ -99,7 +99,7 @@
         )
         self.record_store = RecordStore(clock)
         self.share_manager = ShareManager(
-            self.guard,
+            self.share_guard,
             self.record_store,
             self.feeds,
             self.directory,
@@ -116,13 +116,13 @@
             channel, settings.target, self.backoff, self._on_target_leaving
         )
         runner = AttemptRunner(
-            clock, self.record_store, self.queue, target, self.guard, tasks
+            clock, self.record_store, self.queue, target, self.share_guard, tasks
         )
         self.handler = AttemptHandler(
             runner, self.reporter, self.text, settings.service, self.metrics
         )
         epoch = int(clock.now() * MS_PER_SECOND)
-        self.maps = MapKeeper(
+        self.map_participant = MapKeeper(
             settings.name,
             self.incarnation,
             EngineClient(channel, settings.target, epoch),
@@ -139,7 +139,7 @@
         self.tasks.start_soon(self.share_manager.run)
         self.tasks.start_soon(self._apply_text_changes)
         self.tasks.start_soon(self.queue.follow_backoff)
-        self.tasks.start_soon(self.maps.run)
+        self.tasks.start_soon(self.map_participant.run)
 
     async def drain(self) -> None:
         """
@@ -164,7 +164,7 @@
 
         This is final for the process: an agent is restarted together with its target.
         """
-        if self.guard.draining:
+        if self.share_guard.draining:
             return
         logger.info("agent: the target is leaving, according to its response")
         self._refuse_new_attempts()
@@ -172,7 +172,7 @@
 
     def _refuse_new_attempts(self) -> None:
         self.reporter.announce_drain()
-        self.guard.draining = True
+        self.share_guard.draining = True
 
     async def _hand_over_shares(self) -> None:
         with anyio.move_on_after(self.settings.drain_timeout):
@@ -180,7 +180,7 @@
 
     def ready(self) -> str:
         """Return why the agent is not ready, or an empty string."""
-        if self.guard.draining:
+        if self.share_guard.draining:
             return "draining"
         if self.settings.service not in self.text.current().services:
             return "no text with its service yet"
@@ -195,7 +195,7 @@
             Route("GET", HELLO_PATH, self._handle_hello),
             Route("POST", HAND_OVER_PATH, self._handle_hand_over),
             Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
-            *MapHandlers(self.maps).routes(),
+            *MapHandlers(self.map_participant).routes(),
             *pages.routes(),
         ]
 
@@ -230,6 +230,6 @@
             "running": self.queue.running,
             "queued": len(self.queue.waiting),
             "backoff_seconds": self.backoff.seconds_left(),
-            "shares": [row.share for row in self.guard.held_rows()],
+            "shares": [row.share for row in self.share_guard.held_rows()],
             "ready": self.ready() or "yes",
         }
--- a/packages/agent/src/briarthread_agent/attempts/target_client.py
+++ b/packages/agent/src/briarthread_agent/attempts/target_client.py
@@ -70,9 +70,9 @@
             buffer.fail(error)
 
     def _note_signals(self, response: ChannelResponse) -> None:
-        notice = read_notice(response, LEAVING_HEADER)
-        self.backoff.note_response(notice)
-        if notice.leaving:
+        signals = read_notice(response, LEAVING_HEADER)
+        self.backoff.note_response(signals)
+        if signals.leaving:
             self.on_leaving()
 
 
--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -21,12 +21,12 @@
         self.backoff: Backoff | None = None
         self.extended = anyio.Event()
 
-    def note_response(self, notice: AnswerNotice) -> None:
+    def note_response(self, signals: AnswerNotice) -> None:
         """Record the signals in the head of a response."""
         now = anyio.current_time()
-        if notice.backoff > 0:
-            self._extend(now, notice.backoff)
-        elif self.backoff is not None and not notice.failed:
+        if signals.backoff > 0:
+            self._extend(now, signals.backoff)
+        elif self.backoff is not None and not signals.failed:
             self.backoff.note_success(now)
             if self.backoff.finished():
                 self.backoff = None
--- a/packages/agent/src/briarthread_agent/shares/share_manager.py
+++ b/packages/agent/src/briarthread_agent/shares/share_manager.py
@@ -109,8 +109,8 @@
         """
         Hand shares and their records over to a successor.
 
-        This agent starts no key of the shares any more before it sends the records,
-        so the records sent are complete. If the platform cannot be reached, the rows
+        Before it sends the records, this agent stops starting keys of the shares, so
+        the records sent are complete. If the platform cannot be reached, the rows
         stay, and the shares are quarantined when another agent takes them over.
         """
         shares = [row.share for row in rows]
--- a/tests/world/test_whole_answers.py
+++ b/tests/world/test_whole_answers.py
@@ -50,7 +50,7 @@
         world.entry("entry-palermo-0").router.choose = lambda states, now, rng: min(
             states, key=lambda state: state.instance.name, default=None
         )
-        world.agent(second).guard.draining = True
+        world.agent(second).share_guard.draining = True
         answers = []
 
         async def ask() -> None:
