--- a/packages/agent/src/briarthread_agent/attempts/attempt_runner.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_runner.py
@@ -108,11 +108,11 @@
             raise RequestError(
                 ErrorKind.DEADLINE_PASSED, "deadline passed while queued"
             )
-        left = record.attempt.deadline - self.clock.now()
-        if left < MIN_TIME_LEFT_FACTOR * self.queue.mean_service_time():
+        remaining = record.attempt.deadline - self.clock.now()
+        if remaining < MIN_TIME_LEFT_FACTOR * self.queue.mean_service_time():
             raise RequestError(
                 ErrorKind.DEADLINE_UNMEETABLE,
-                "time left before the deadline is too short to run",
+                "time remaining before the deadline is too short to run",
                 retry_after=self.queue.backlog_seconds(),
             )
         self.guard.check_start(record.attempt)
--- a/packages/agent/src/briarthread_agent/limits/fair_queue.py
+++ b/packages/agent/src/briarthread_agent/limits/fair_queue.py
@@ -94,11 +94,11 @@
             self._grant_next()
 
     def _refuse_waiting(self) -> None:
-        left = self.backoff.seconds_left()
-        if left <= MAX_BACKOFF_WAIT:
+        remaining = self.backoff.seconds_left()
+        if remaining <= MAX_BACKOFF_WAIT:
             return
         for waiter in self.waiting:
-            waiter.refusal = _backoff_error(left)
+            waiter.refusal = _backoff_error(remaining)
             waiter.event.set()
         self.waiting.clear()
 
@@ -106,9 +106,9 @@
         self, account: str, weight: float, priority: int, deadline: float
     ) -> None:
         waiter = Waiter(account, weight, priority, self._start_tag(account, weight))
-        left = self.backoff.seconds_left()
-        if left > MAX_BACKOFF_WAIT:
-            raise _backoff_error(left)
+        remaining = self.backoff.seconds_left()
+        if remaining > MAX_BACKOFF_WAIT:
+            raise _backoff_error(remaining)
         if self.running < self._usable_slots() and not self.waiting:
             self._grant(waiter)
             return
@@ -195,9 +195,9 @@
             self.waiting.remove(waiter)
 
 
-def _backoff_error(left: float) -> RequestError:
+def _backoff_error(remaining: float) -> RequestError:
     return RequestError(
         ErrorKind.TARGETS_BACKING_OFF,
-        f"the target is backing off for another {left:.2f} s",
-        retry_after=left,
+        f"the target is backing off for another {remaining:.2f} s",
+        retry_after=remaining,
     )
--- a/packages/agent/src/briarthread_agent/shares/share_guard.py
+++ b/packages/agent/src/briarthread_agent/shares/share_guard.py
@@ -97,10 +97,10 @@
         self._check_quarantine(row)
 
     def _check_quarantine(self, row: ShareRow) -> None:
-        left = self.quarantine_of(row) - self.clock.now()
-        if left > 0:
+        remaining = self.quarantine_of(row) - self.clock.now()
+        if remaining > 0:
             raise RequestError(
                 ErrorKind.QUARANTINED,
                 "the record of this key was lost; an earlier attempt may have run",
-                retry_after=left,
+                retry_after=remaining,
             )
--- a/packages/agent/src/briarthread_agent/shares/share_manager.py
+++ b/packages/agent/src/briarthread_agent/shares/share_manager.py
@@ -202,7 +202,7 @@
 
     async def _confirm_with_peer(self) -> None:
         peers = [
-            row for row in self.replicator.peers() if row.name != self.instance.name
+            peer for peer in self.replicator.peers() if peer.name != self.instance.name
         ]
         if not peers:
             raise PlatformError("no peer to confirm the shares with")
@@ -236,8 +236,14 @@
         return successor is not None and successor.name == self.instance.name
 
     def _next_holder(self, share: int, excluded: set[str]) -> Instance | None:
-        rows = self.directory.targets(self.instance.service, self.instance.data_centre)
-        by_name = {row.name: row for row in rows if row.name not in excluded}
+        instances = self.directory.targets(
+            self.instance.service, self.instance.data_centre
+        )
+        by_name = {
+            instance.name: instance
+            for instance in instances
+            if instance.name not in excluded
+        }
         key = share_name(self.instance.service, self.instance.data_centre, share)
         order = rendezvous_order(key, by_name)
         return by_name[order[0]] if order else None
--- a/packages/entry/src/briarthread_entry/maps/coordinator.py
+++ b/packages/entry/src/briarthread_entry/maps/coordinator.py
@@ -83,7 +83,10 @@
         standings = await self.fetch_standings(group)
         if len(standings) < len(group.targets):
             return NotActivated("an agent did not respond")
-        if any(row.version == NO_MAP or row.pending for row in standings.values()):
+        if any(
+            standing.version == NO_MAP or standing.pending
+            for standing in standings.values()
+        ):
             return NotActivated("a rank has no map yet or is held for another map")
         staged = await self._call_all(
             group,
@@ -144,8 +147,10 @@
         timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> dict[str, T]:
         """Return the answers of the agents that respond, by target name."""
-        rows = self.directory.all()
-        names = {rows[name].address: name for name in group.targets if name in rows}
+        instances = self.directory.all()
+        names = {
+            instances[name].address: name for name in group.targets if name in instances
+        }
         messages = {address: build(name) for address, name in names.items()}
         answers = await call_many(self.channel, path, messages, answer_type, timeout)
         return {names[address]: answer for address, answer in answers.items()}
--- a/packages/entry/src/briarthread_entry/maps/group_planner.py
+++ b/packages/entry/src/briarthread_entry/maps/group_planner.py
@@ -162,6 +162,6 @@
     def _is_responsible(self, group: Group) -> bool:
         if group.data_centre != self.data_centre:
             return False
-        names = [row.name for row in self.directory.entries(self.data_centre)]
+        names = [entry.name for entry in self.directory.entries(self.data_centre)]
         order = rendezvous_order(f"plan/{group.name}", names)
         return bool(order) and order[0] == self.name
--- a/packages/entry/src/briarthread_entry/routing/target_table.py
+++ b/packages/entry/src/briarthread_entry/routing/target_table.py
@@ -53,8 +53,8 @@
         selected: dict[str, Instance] = {}
         subset = subset_size(len(text.services))
         for service in text.services.values():
-            rows = self.directory.targets(service.name, self.data_centre)
-            by_name = {row.name: row for row in rows}
+            instances = self.directory.targets(service.name, self.data_centre)
+            by_name = {instance.name: instance for instance in instances}
             chosen = rendezvous_order(self.name, by_name)[:subset]
             selected.update({name: by_name[name] for name in chosen})
         return selected
