--- a/packages/common/src/briarthread_common/placement/__init__.py
+++ b/packages/common/src/briarthread_common/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where the experts of a group are placed, and when they move."""
+"""Placement of the experts of a group on its ranks."""
--- a/packages/common/src/briarthread_common/placement/improve_map.py
+++ b/packages/common/src/briarthread_common/placement/improve_map.py
@@ -1,4 +1,4 @@
-"""A better placement at a bounded cost."""
+"""Incremental improvement of a placement under a bound on experts loaded."""
 
 from collections.abc import Iterator, Sequence
 
@@ -13,9 +13,10 @@
 from briarthread_common.placement.step_search import StepSearch
 
 MIN_STEP_GAIN = 0.002
-"""Part of the mean load that a step must take off the slowest rank."""
+"""Minimum reduction of the slowest rank's load by a step, as a fraction of the mean
+load."""
 MAX_FREE_STEPS = 200
-"""Bound on steps that load nothing, so that a search ends in any case."""
+"""Maximum number of steps that load nothing, so that a search always ends."""
 
 
 def improve_map(
@@ -23,14 +24,15 @@
     present: ExpertMap,
     counts: list[list[float]],
     slots: int,
-    max_moves: int,
+    max_loads: int,
 ) -> ExpertMap:
     """
-    Return the present map with up to ``max_moves`` experts loaded anew.
+    Return an improved map for which ranks load at most ``max_loads`` experts.
 
-    Layer by layer it takes load off the slowest rank, as long as that gains.
+    The layers are improved in order. In each, load is taken off the slowest
+    rank as long as a step gains more than ``MIN_STEP_GAIN``.
     """
-    left = max_moves
+    left = max_loads
     layers = []
     for layer, layer_counts in zip(present.layers, counts, strict=True):
         better, used = improve_layer(layer, layer_counts, slots, left)
@@ -43,11 +45,11 @@
     layer: Layer,
     counts: list[float],
     slots: int,
-    max_moves: int,
+    max_loads: int,
 ) -> tuple[Layer, int]:
-    """Return a better layer and the number of experts to load for it."""
+    """Return an improved layer and the number of experts to load for it."""
     better, used = layer, 0
-    for step in improve_steps(layer, counts, slots, max_moves):
+    for step in improve_steps(layer, counts, slots, max_loads):
         better, used = step
     return better, used
 
@@ -56,16 +58,16 @@
     layer: Layer,
     counts: list[float],
     slots: int,
-    max_moves: int,
-    rank_moves: int | None = None,
+    max_loads: int,
+    max_rank_loads: int | None = None,
     slowdown: Sequence[float] = (),
 ) -> Iterator[tuple[Layer, int]]:
     """
-    Give better layers one after the other, with the experts loaded so far.
+    Yield successively better layers and the number of experts loaded so far.
 
-    ``rank_moves`` bounds what a single rank loads, where its engine does.
-    ``slowdown`` is how many times longer each rank takes for a token; left
-    out, all take the same time.
+    ``max_rank_loads`` bounds the experts that a single rank loads, for engines
+    with such a limit. ``slowdown`` is the factor by which each rank takes longer
+    for a token; by default all ranks take the same time.
 
     >>> slow = improve_steps([[0, 1], [2, 3]], [9.0, 9.0, 9.0, 9.0], 3, 9,
     ...     slowdown=[1.0, 3.0])
@@ -73,24 +75,24 @@
     [([[0, 1, 2], [3]], 1)]
     """
     plan = LayerPlan(layer, counts, slowdown or [1.0] * len(layer))
-    left = [max_moves if rank_moves is None else rank_moves] * len(layer)
-    floor = MIN_STEP_GAIN * sum(counts) / len(layer)
+    loads_left = [max_loads if max_rank_loads is None else max_rank_loads] * len(layer)
+    min_gain = MIN_STEP_GAIN * sum(counts) / len(layer)
     used = 0
-    for _ in range(max_moves + MAX_FREE_STEPS):
-        found = StepSearch(plan, slots, left).best()
-        if found is None or found[0] <= floor:
+    for _ in range(max_loads + MAX_FREE_STEPS):
+        found = StepSearch(plan, slots, loads_left).best()
+        if found is None or found[0] <= min_gain:
             return
         step = found[1]
-        if used + load_count(step) > max_moves:
+        if used + load_count(step) > max_loads:
             return
         plan.apply(step)
         used += load_count(step)
-        _note_loads(step, left)
+        _count_loads(step, loads_left)
         yield plan.snapshot(), used
 
 
-def _note_loads(step: PlacementStep, left: list[int]) -> None:
+def _count_loads(step: PlacementStep, loads_left: list[int]) -> None:
     if load_count(step):
-        left[step.rank] -= 1
+        loads_left[step.rank] -= 1
     if isinstance(step, SwapReplicas):
-        left[step.source] -= 1
+        loads_left[step.source] -= 1
--- a/packages/common/src/briarthread_common/placement/layer_plan.py
+++ b/packages/common/src/briarthread_common/placement/layer_plan.py
@@ -1,4 +1,4 @@
-"""A placement of one layer that is being changed."""
+"""Mutable placement of one layer."""
 
 from collections.abc import Sequence
 
@@ -14,10 +14,10 @@
 
 class LayerPlan:
     """
-    Hold a placement with the work of its ranks, kept up to date step by step.
+    Hold a placement and the tokens of its ranks, updated with every step.
 
-    ``rank_tokens`` is the tokens that go to each rank; ``slowdown`` is how many times
-    longer a rank takes for them than others, so that a rank's load is the
+    ``rank_tokens`` is the number of tokens routed to each rank. ``slowdown`` is the
+    factor by which a rank takes longer for a token than others. A rank's load is the
     product of both.
 
     >>> plan = LayerPlan([[0, 1], [2]], [6.0, 2.0, 4.0], [1.0, 2.0])
@@ -44,7 +44,7 @@
         ]
 
     def replica_tokens(self, expert: int) -> float:
-        """Return the tokens that go to each replica of an expert."""
+        """Return the number of tokens routed to each replica of an expert."""
         return self.counts[expert] / len(self.holders[expert])
 
     def load(self, rank: int) -> float:
@@ -56,11 +56,11 @@
         return [self.load(rank) for rank in range(len(self.layer))]
 
     def snapshot(self) -> Layer:
-        """Return the placement as it is now."""
+        """Return a copy of the current placement."""
         return [list(rank) for rank in self.layer]
 
     def apply(self, step: PlacementStep) -> None:
-        """Change the placement by one step."""
+        """Apply one step to the placement."""
         match step:
             case DropReplica(expert, rank):
                 self._remove(expert, rank)
@@ -86,6 +86,7 @@
         self._set_holders(expert, [r for r in self.holders[expert] if r != rank])
 
     def _set_holders(self, expert: int, holders: list[int]) -> None:
+        """Set the ranks that hold an expert and distribute its tokens to them."""
         before = self.replica_tokens(expert)
         for rank in self.holders[expert]:
             self.rank_tokens[rank] -= before
--- a/packages/common/src/briarthread_common/placement/layer_step.py
+++ b/packages/common/src/briarthread_common/placement/layer_step.py
@@ -1,11 +1,11 @@
-"""The steps by which a placement of one layer is improved."""
+"""Steps that improve the placement of one layer."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DropReplica:
-    """The rank gives up its replica of an expert that others hold as well."""
+    """Remove a replica from a rank; other ranks hold the expert as well."""
 
     expert: int
     rank: int
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveReplica:
-    """An expert goes from its source into a free place of another rank."""
+    """Move an expert from its source rank into a free slot of another rank."""
 
     expert: int
     source: int
@@ -23,10 +23,10 @@
 @dataclass(frozen=True, slots=True)
 class AddReplica:
     """
-    A rank gets a replica of an expert that its source keeps.
+    Add a replica of an expert to a rank; the source rank keeps its own.
 
-    It goes into a free place, or into that of ``replaced``, which other ranks
-    hold as well.
+    The replica goes into a free slot, or into the slot of ``replaced``, an expert
+    that other ranks hold as well.
     """
 
     expert: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SwapReplicas:
-    """An expert goes to another rank and ``returned`` comes back for it."""
+    """Move an expert to another rank, which gives ``returned`` to the source rank."""
 
     expert: int
     source: int
@@ -50,7 +50,7 @@
 
 def load_count(step: PlacementStep) -> int:
     """
-    Return how many experts some rank has to load for a step.
+    Return the number of experts that ranks have to load for a step.
 
     >>> load_count(DropReplica(3, 0)), load_count(SwapReplicas(3, 0, 1, 4))
     (0, 2)
--- a/packages/common/src/briarthread_common/placement/move_rule.py
+++ b/packages/common/src/briarthread_common/placement/move_rule.py
@@ -1,4 +1,4 @@
-"""The decision whether a group changes its map."""
+"""Decision whether a group changes its map."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,15 @@
 from briarthread_common.text.objective import Objective
 
 DRIFT_HORIZON_SECONDS = 1800.0
-"""Time over which a saving is counted before popularity has drifted on."""
+"""Period, in seconds, over which a saving is counted. After it, popularity has
+drifted."""
 CANDIDATE_MOVE_FRACTIONS = (0.02, 0.05, 0.1, 0.25)
-"""Parts of all experts that a candidate map may load anew."""
+"""Fractions of all experts that candidate maps may load."""
 
 
 @dataclass(frozen=True, slots=True)
 class MapMove:
-    """Change to this map; times are in seconds of the whole group."""
+    """Change to ``expert_map``; times are in seconds of the whole group."""
 
     expert_map: ExpertMap
     moved: int
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeepMap:
-    """Keep the map; ``reason`` says why."""
+    """Keep the present map for the given reason."""
 
     reason: str
 
@@ -40,20 +41,20 @@
     objective: Objective,
 ) -> MapMove | KeepMap:
     """
-    Return the move with the best weighed gain, or the reason to stay.
+    Return the move with the highest weighted gain, or the reason to keep the map.
 
-    ``load_seconds`` is the time that loading one expert takes from the
-    group's part of the weight store. A map saves the part of the coming
-    ``DRIFT_HORIZON_SECONDS`` that its lower skew gives back; the saving weighs
-    ``skew_weight``, the loading ``rebalance_weight``.
+    ``load_seconds`` is the time to load one expert over the group's share of the
+    weight store's bandwidth. A map with lower skew saves the corresponding fraction
+    of the next ``DRIFT_HORIZON_SECONDS``. The saving is weighted by ``skew_weight``,
+    the time to load the moved experts by ``rebalance_weight``.
     """
     skew = map_skew(present, counts)
     experts = sum(len(rank) for layer in present.layers for rank in layer)
     best: MapMove | None = None
     best_gain = 0.0
     candidates = [
-        improve_map(version, present, counts, slots, max(1, int(experts * part)))
-        for part in CANDIDATE_MOVE_FRACTIONS
+        improve_map(version, present, counts, slots, max(1, int(experts * fraction)))
+        for fraction in CANDIDATE_MOVE_FRACTIONS
     ]
     candidates.append(place_experts(version, counts, len(present.layers[0]), slots))
     for candidate in candidates:
--- a/packages/common/src/briarthread_common/placement/place_experts.py
+++ b/packages/common/src/briarthread_common/placement/place_experts.py
@@ -1,4 +1,4 @@
-"""A placement from nothing but popularity."""
+"""Placement of all experts from scratch, by popularity alone."""
 
 import heapq
 
@@ -10,12 +10,13 @@
     version: int, counts: list[list[float]], ranks: int, slots: int
 ) -> ExpertMap:
     """
-    Place experts by longest processing time first.
+    Place experts by the longest-processing-time-first rule.
 
-    Spare slots go to replicas of the experts with most tokens a replica;
-    then each replica, heaviest first, goes to the least loaded rank that has
-    a slot and does not hold the expert. It moves nearly everything and is
-    the yardstick for what a map can reach at best.
+    Spare slots are filled with replicas of the experts with the most tokens per
+    replica. Then each replica, heaviest first, goes to the least loaded rank that
+    has a free slot and does not hold the expert. The result ignores the present
+    placement, so nearly every expert moves. It serves as the reference for the
+    best skew that a map can reach.
     """
     layers = [place_layer(layer, ranks, slots) for layer in counts]
     return ExpertMap(version, layers)
@@ -29,20 +30,21 @@
     loads = [0.0] * ranks
     for expert in order:
         for _ in range(replicas[expert]):
-            open_ranks = [
+            free_ranks = [
                 r
                 for r in range(ranks)
                 if len(layer[r]) < slots and expert not in layer[r]
             ]
-            if not open_ranks:
+            if not free_ranks:
                 break
-            rank = min(open_ranks, key=lambda r: (loads[r], r))
+            rank = min(free_ranks, key=lambda r: (loads[r], r))
             layer[rank].append(expert)
             loads[rank] += counts[expert] / replicas[expert]
     return layer
 
 
 def _replicate(counts: list[float], ranks: int, slots: int) -> list[int]:
+    """Return the number of replicas of each expert."""
     replicas = [1] * len(counts)
     heap = [(-count, expert) for expert, count in enumerate(counts)]
     heapq.heapify(heap)
--- a/packages/common/src/briarthread_common/placement/popularity.py
+++ b/packages/common/src/briarthread_common/placement/popularity.py
@@ -1,15 +1,15 @@
-"""How often each expert is used of late."""
+"""Recent usage of each expert."""
 
 from dataclasses import dataclass, field
 
 HALF_LIFE_SECONDS = 600.0
-"""Seconds after which an observation counts half, where demand drifts slowly."""
+"""Half-life of an observation in seconds, for demand that drifts slowly."""
 
 
 @dataclass(slots=True)
 class Popularity:
     """
-    Keep decayed token counts of each expert in each layer.
+    Keep exponentially decayed token counts of each expert in each layer.
 
     >>> popularity = Popularity(layers=1, experts=2)
     >>> popularity.add(0.0, [[10, 30]])
@@ -28,7 +28,7 @@
         self.counts = [[0.0] * self.experts for _ in range(self.layers)]
 
     def add(self, now: float, counts: list[list[int]]) -> None:
-        """Take in the tokens that went to each expert since the last time."""
+        """Add the tokens routed to each expert since the previous call."""
         decay = 0.5 ** ((now - self.updated) / self.half_life)
         self.updated = now
         self.counts = [
--- a/packages/common/src/briarthread_common/placement/rank_loads.py
+++ b/packages/common/src/briarthread_common/placement/rank_loads.py
@@ -1,4 +1,4 @@
-"""What a placement means for the ranks."""
+"""Load of the ranks under a placement."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -6,13 +6,14 @@
 from briarthread_common.messages.expert_map import ExpertMap
 
 Layer = list[list[int]]
+"""The experts of each rank in one layer."""
 
 
 def rank_loads(layer: Layer, counts: list[float]) -> list[float]:
     """
     Return the load of each rank in one layer.
 
-    Replicas of an expert share its tokens evenly.
+    The tokens of an expert are divided evenly among its replicas.
 
     >>> rank_loads([[0, 1], [1]], [2.0, 6.0])
     [5.0, 3.0]
@@ -25,10 +26,10 @@
     layer: Layer, counts: list[float], slowdown: Sequence[float] = ()
 ) -> float:
     """
-    Return the load of the rank that all others of a layer wait for.
+    Return the load of a layer's slowest rank, which all others wait for.
 
-    ``slowdown`` is how many times longer each rank takes for a token; left
-    out, all take the same time.
+    ``slowdown`` is the factor by which each rank takes longer for a token; by
+    default all ranks take the same time.
 
     >>> slowest_load([[0, 1], [1]], [2.0, 6.0], [1.0, 2.0])
     6.0
@@ -36,14 +37,14 @@
     loads = rank_loads(layer, counts)
     if not slowdown:
         return max(loads)
-    return max(work * times for work, times in zip(loads, slowdown, strict=True))
+    return max(load * factor for load, factor in zip(loads, slowdown, strict=True))
 
 
 def map_skew(expert_map: ExpertMap, counts: list[list[float]]) -> float:
     """
-    Return the time of a step over that of an even one.
+    Return the duration of a step relative to one with evenly loaded ranks.
 
-    Each layer lasts as long as its slowest rank; 1 is the least.
+    Each layer takes as long as its slowest rank. The minimum is 1.
     """
     slowest = 0.0
     even = 0.0
@@ -55,7 +56,7 @@
 
 
 def moved_experts(old: ExpertMap, new: ExpertMap) -> int:
-    """Return how many experts some rank has to load for the new map."""
+    """Return the number of experts that ranks have to load for the new map."""
     return sum(
         len(set(new_rank) - set(old_rank))
         for old_layer, new_layer in zip(old.layers, new.layers, strict=True)
--- a/packages/common/src/briarthread_common/placement/set_rebalance.py
+++ b/packages/common/src/briarthread_common/placement/set_rebalance.py
@@ -1,11 +1,11 @@
 """
-The decision whether a group changes its map while demand shifts by the second.
+Rebalancing of one set of experts under demand that shifts within seconds.
 
-It answers experts whose popularity changes every few seconds, on a group that
-carries so many requests that the length of its passes decides how many are
-served in time. A change pays where the time that it takes off the passes to
-come is worth more than the experts that have to be loaded for it. Each set of
-experts adds its slowest rank to the pass, so each is decided by itself.
+The popularity of experts changes every few seconds, and the group carries so many
+requests that the duration of its passes decides how many are served in time. A
+change pays off where the time it takes off the coming passes is worth more than
+loading the experts. The slowest rank of each set adds to the duration of the pass,
+so each set is decided on its own.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,43 +20,49 @@
 because expert popularity shifts within seconds and a change takes about one second
 to take effect."""
 EXPERT_LOAD_COST_SECONDS = 0.008
-"""What loading one expert costs, as seconds of a fully loaded group: the bytes
-are paid for, and passes are longer while they come; for groups of
-``LOAD_COST_RANKS``."""
+"""Cost of loading one expert, in seconds of a fully loaded group of
+``LOAD_COST_RANKS`` ranks: the transfer is charged for, and passes take longer
+during it."""
 LOAD_COST_RANKS = 12
-"""Ranks from which on a load costs a group less the larger it is: a second of the
-group then serves as many more callers as it has ranks. With the cost of a small
-group hardly any load pays in a large one."""
+"""Number of ranks above which the cost of a load falls in inverse proportion to the
+group's size, because a second of a larger group serves more callers. At the cost of
+a small group, hardly any load would pay off in a large one."""
 DEFAULT_EXPERT_SHARE = 0.9
-"""Part of a pass, beyond its fixed part, that lies with the experts where the
-engine's figures name none."""
+"""Fraction of a pass, without its fixed part, that is spent on experts, if the engine's
+profile specifies none."""
 ZERO_WEIGHT_PASS_SECONDS = 0.045
-"""Length of a pass, s, up to which nothing is gained by shorter ones: answers
-come in time anyway. From there to ``FULL_WEIGHT_PASS_SECONDS`` the gain counts
-in part."""
+"""Duration of a pass, in seconds, up to which shorter passes gain nothing because
+answers are in time anyway. Between it and ``FULL_WEIGHT_PASS_SECONDS`` the gain is
+weighted linearly."""
 FULL_WEIGHT_PASS_SECONDS = 0.07
-"""Length of a pass, s, from which its length decides how many are served."""
+"""Duration of a pass, in seconds, from which the number of requests served in time
+depends on it in full."""
 MAX_LOADS_PER_RANK = 3
-"""Experts of one set that one change may load, for each rank of the group."""
+"""Maximum number of experts of one set that a change may load, per rank of the
+group."""
 SEARCH_PATIENCE_LOADS = 6
-"""Loads beyond the best change found so far after which the search ends: the
+"""Number of loads beyond the best change so far after which the search stops. The
 first steps gain most, and a long search would delay the change."""
 SEARCH_PATIENCE_PER_RANK = 0.3
-"""The same as a part of the ranks, for large groups: where many are as busy as the
-busiest, nothing is gained before the last of them has given something up."""
+"""The same limit per rank, for large groups: where many ranks are as loaded as the
+slowest one, nothing is gained until the last of them has been relieved."""
 
 
 @dataclass(frozen=True, slots=True)
 class PassDuration:
-    """State a group's pass in seconds, and the part that no map changes."""
+    """
+    Describe the duration of a group's pass in seconds.
+
+    ``fixed`` is the part that no map changes.
+    """
 
     seconds: float
     fixed: float
     expert_share: float = DEFAULT_EXPERT_SHARE
 
     @property
-    def pressure(self) -> float:
-        """Return how much shorter passes are worth, from 0 to 1."""
+    def weight(self) -> float:
+        """Return the weight of a gain in pass duration, from 0 to 1."""
         over = (self.seconds - ZERO_WEIGHT_PASS_SECONDS) / (
             FULL_WEIGHT_PASS_SECONDS - ZERO_WEIGHT_PASS_SECONDS
         )
@@ -65,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetChange:
-    """A better placement of one set, with what it loads and saves (s)."""
+    """A better placement of one set, the experts to load and the seconds saved."""
 
     layer: Layer
     loads: int
@@ -76,24 +82,23 @@
     layer: Layer,
     counts: list[float],
     others: float,
-    figures: ExpertLayout,
-    length: PassDuration,
+    expert_layout: ExpertLayout,
+    duration: PassDuration,
     slowdown: Sequence[float] = (),
 ) -> Iterator[SetChange]:
     """
-    Give ever better changes of one set, after each step of the search.
+    Yield the best change of one set found so far, after each step of the search.
 
-    The last is the one whose saving exceeds its cost by most; without a
-    worthwhile change the set comes back as it is. A caller with other work may
-    do it between two steps. ``others`` is the load of the slowest ranks of the
-    other sets together, so that the pass can be shared out over the sets.
-    ``slowdown`` is how many times longer each rank takes for a token; left out,
-    all take the same time.
+    The last one has the highest saving net of cost; without a worthwhile change
+    it is the present placement. Callers can do other work between two steps.
+    ``others`` is the sum of the slowest ranks' loads of the other sets, from which
+    this set's share of the pass is derived. ``slowdown`` is the factor by which each
+    rank takes longer for a token; by default all ranks take the same time.
 
-    >>> figures = ExpertLayout(1, 4, 3, 3)
+    >>> expert_layout = ExpertLayout(1, 4, 3, 3)
     >>> busy = PassDuration(0.1, 0.03)
     >>> *_, best = search_set_changes([[0, 1], [2, 3]], [90.0, 90.0, 5.0, 5.0], 0.0,
-    ...     figures, busy)
+    ...     expert_layout, busy)
     >>> best.layer
     [[1, 2], [3, 0]]
     """
@@ -102,18 +107,23 @@
     yield best
     if slowest <= 0:
         return
-    movable = (length.seconds - length.fixed) * length.expert_share
-    worth = movable / length.seconds * HORIZON_SECONDS * length.pressure
-    worth /= slowest + others
-    each = EXPERT_LOAD_COST_SECONDS * min(LOAD_COST_RANKS / len(layer), 1.0)
-    most = MAX_LOADS_PER_RANK * len(layer)
+    variable_seconds = (duration.seconds - duration.fixed) * duration.expert_share
+    load_value = variable_seconds / duration.seconds * HORIZON_SECONDS * duration.weight
+    load_value /= slowest + others
+    load_cost = EXPERT_LOAD_COST_SECONDS * min(LOAD_COST_RANKS / len(layer), 1.0)
+    max_loads = MAX_LOADS_PER_RANK * len(layer)
     patience = max(SEARCH_PATIENCE_LOADS, SEARCH_PATIENCE_PER_RANK * len(layer))
     steps = improve_steps(
-        layer, counts, figures.slots_per_rank, most, figures.max_new_experts, slowdown
+        layer,
+        counts,
+        expert_layout.slots_per_rank,
+        max_loads,
+        expert_layout.max_new_experts,
+        slowdown,
     )
     for better, loads in steps:
-        saved = (slowest - slowest_load(better, counts, slowdown)) * worth
-        gain = saved - loads * each
+        saved = (slowest - slowest_load(better, counts, slowdown)) * load_value
+        gain = saved - loads * load_cost
         if gain > best_gain:
             best, best_gain = SetChange(better, loads, saved), gain
         elif loads > best.loads + patience:
