--- a/packages/common/src/briarthread_common/spread/__init__.py
+++ b/packages/common/src/briarthread_common/spread/__init__.py
@@ -1,1 +1,1 @@
-"""How text, instances and shares reach every process."""
+"""Replication of text, instances and shares to every process."""
--- a/packages/common/src/briarthread_common/spread/directory.py
+++ b/packages/common/src/briarthread_common/spread/directory.py
@@ -1,4 +1,4 @@
-"""The instances that a process knows of."""
+"""Directory of the known instances."""
 
 import msgspec
 from loguru import logger
@@ -12,7 +12,11 @@
 
 
 class Directory:
-    """Give the instances of a feed as typed rows, decoded once a version."""
+    """
+    Return the instances of a feed as typed rows.
+
+    The rows are decoded once per version of the feed.
+    """
 
     def __init__(self, feed: Feed) -> None:
         self.feed = feed
@@ -33,7 +37,7 @@
         return self.rows
 
     def of_role(self, role: InstanceRole) -> dict[str, Instance]:
-        """Return the known instances of a role by name, of every data centre."""
+        """Return the known instances of a role in all data centres by name."""
         return {name: row for name, row in self.all().items() if row.role is role}
 
     def entries(self, data_centre: str) -> list[Instance]:
@@ -41,11 +45,11 @@
         return self._select(InstanceRole.ENTRY, data_centre, "")
 
     def targets(self, service: str, data_centre: str) -> list[Instance]:
-        """Return the live targets of a service in a data centre."""
+        """Return the live targets of a service in a data centre in name order."""
         return self._select(InstanceRole.TARGET, data_centre, service)
 
     def by_address(self, address: str) -> Instance | None:
-        """Return the instance that listens at an address."""
+        """Return the instance that listens at an address, or ``None``."""
         return next(
             (row for row in self.all().values() if row.address == address), None
         )
@@ -64,12 +68,16 @@
         return sorted(rows, key=lambda row: row.name)
 
     def _decode(self, name: str, raw: str) -> tuple[str, Instance | None]:
-        """Return a row as it is and decoded, ``None`` for one of another writer."""
+        """
+        Return a row as raw text and decoded.
+
+        The decoded row is ``None`` if it is invalid, e.g. written by other software.
+        """
         known = self.decoded.get(name)
         if known is not None and known[0] == raw:
             return known
         try:
             return raw, msgspec.json.decode(raw, type=Instance)
         except (msgspec.MsgspecError, UnicodeEncodeError) as error:
-            logger.warning("spread: {} is no instance of ours: {}", name, error)
+            logger.warning("spread: invalid instance row {} ignored: {}", name, error)
             return raw, None
--- a/packages/common/src/briarthread_common/spread/feed_replicator.py
+++ b/packages/common/src/briarthread_common/spread/feed_replicator.py
@@ -1,4 +1,4 @@
-"""The task that keeps a process's feeds up to date."""
+"""Replication of the feeds of a process."""
 
 import random
 
@@ -26,25 +26,25 @@
 from briarthread_common.utils.hashing import rendezvous_order
 
 EXCHANGE_PATH = "/peer/v1/exchange"
-EXCHANGE_TIMEOUT = 1.5
+EXCHANGE_TIMEOUT_SECONDS = 1.5
 POLLERS = 2
-"""How many entries of a data centre poll the platform."""
+"""Number of entries per data centre that poll the platform."""
 LOGGED_FEEDS = frozenset({FeedName.TEXT, FeedName.ROUTES})
-"""Feeds whose every version is worth a line in the log."""
-START_PEERS = 8
-"""How many peers a starting process asks for the highest versions."""
+"""Feeds of which every installed version is logged."""
+MAX_START_PEERS = 8
+"""Maximum number of peers that a starting process asks for the newest versions."""
 
 
 class FeedReplicator:
     """
-    Keep the feeds of one process at the highest versions to be had.
-
-    Two entries of each data centre poll the platform. Whoever installs a
-    higher version tells those below it in its data centre's tree, which every
-    process computes alike, and asks its root, which mostly has it, whether it
-    does. A periodic exchange with a random peer mends what the tree missed,
-    and one now and then with another data centre carries versions past a
-    platform that only some can reach.
+    Keep the feeds of one process at the newest available versions.
+
+    Some entries of each data centre poll the platform. A process that installs a
+    newer version pushes it to its children in the tree of its data centre, which
+    every process computes alike. It also exchanges versions with the root of the
+    tree, which usually has the new one already. A periodic exchange with a random
+    peer (anti-entropy) repairs what the tree missed. The peer may be in another data
+    centre, so versions also reach processes that cannot reach the platform.
     """
 
     def __init__(
@@ -69,42 +69,42 @@
         self.started = anyio.Event()
 
     async def run(self) -> None:
-        """Start up, then poll, tell and exchange until cancelled."""
+        """Catch up, then poll, push and exchange until cancelled."""
         await self.catch_up()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._poll_loop)
             tasks.start_soon(self._exchange_loop)
             for feed in self.feeds.all():
-                tasks.start_soon(self._tell_loop, feed)
+                tasks.start_soon(self._push_loop, feed)
 
     async def catch_up(self) -> None:
-        """Take the highest versions among the platform and some peers."""
+        """Install the newest versions that the platform and some peers have."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._poll_quietly)
-            for address in self.options.seeds[:START_PEERS]:
-                tasks.start_soon(self._exchange_quietly, address)
+            tasks.start_soon(self._try_poll)
+            for address in self.options.seeds[:MAX_START_PEERS]:
+                tasks.start_soon(self._try_exchange, address)
         if not self.platform_up:
             async with anyio.create_task_group() as tasks:
                 for address in self._start_peers():
-                    tasks.start_soon(self._exchange_quietly, address)
+                    tasks.start_soon(self._try_exchange, address)
         self.started.set()
 
     async def handle_exchange(self, call: Call) -> None:
-        """Answer a peer: install its patches, give it what it lacks."""
-        heard = await call.read_json(Exchange, MAX_MESSAGE_BYTES)
-        self._hear(heard)
-        await call.reply_json(self._message_for(heard.versions))
+        """Install a peer's patches and reply with those that it lacks."""
+        received = await call.read_json(Exchange, MAX_MESSAGE_BYTES)
+        self._receive(received)
+        await call.reply_json(self._message_for(received.versions))
 
     async def poll_platform(self) -> None:
-        """Read what is new from the platform; raise PlatformError if down."""
+        """Install new versions from the platform; may raise PlatformError."""
         self.install_all(await self.source.poll(self.feeds))
 
     async def exchange_with(self, address: str) -> Exchange:
-        """Exchange with one peer; raise ChannelError when it is silent."""
-        return await self._send_and_mend(address, self._message([]))
+        """Exchange versions and patches with a peer; may raise ChannelError."""
+        return await self._exchange(address, self._message([]))
 
     def source_age(self) -> float:
-        """Return the seconds since the platform was heard from, if it matters."""
+        """Return the seconds since the platform's last answer; 0 if not tracked."""
         return 0.0
 
     def peers(self) -> list[Instance]:
@@ -118,14 +118,14 @@
         return [by_name[name] for name in rendezvous_order("tree", by_name)]
 
     def source_healthy_seconds(self) -> float:
-        """Return for how long the platform has answered, if it matters."""
+        """Return the seconds for which the platform has been up; 0 if not tracked."""
         return 0.0
 
     async def _poll_loop(self) -> None:
         while True:
             await anyio.sleep(self.options.poll_interval * self.rng.uniform(0.8, 1.2))
-            if self._on_poll_duty():
-                await self._poll_quietly()
+            if self._is_poller():
+                await self._try_poll()
 
     async def _exchange_loop(self) -> None:
         while True:
@@ -133,34 +133,34 @@
             await anyio.sleep(pause)
             address = self._random_peer()
             if address is not None:
-                await self._exchange_quietly(address)
+                await self._try_exchange(address)
 
-    async def _tell_loop(self, feed: Feed) -> None:
-        told = feed.number
+    async def _push_loop(self, feed: Feed) -> None:
+        pushed = feed.number
         while True:
-            await feed.wait_for_newer(told)
-            patch = feed.since(told)
-            told = feed.number
+            await feed.wait_for_newer(pushed)
+            patch = feed.since(pushed)
+            pushed = feed.number
             if patch is not None:
-                await self._tell(patch)
+                await self._push(patch)
 
-    async def _tell(self, patch: FeedPatch) -> None:
+    async def _push(self, patch: FeedPatch) -> None:
         message = self._message([patch])
         tree = self.peers()
         async with anyio.create_task_group() as tasks:
             for row in push_targets(self.options.name, tree):
-                tasks.start_soon(self._tell_one, row.address, message)
+                tasks.start_soon(self._try_push, row.address, message)
             root = root_of(self.options.name, tree)
             if root is not None:
-                tasks.start_soon(self._exchange_quietly, root.address)
+                tasks.start_soon(self._try_exchange, root.address)
 
-    async def _tell_one(self, address: str, message: Exchange) -> None:
+    async def _try_push(self, address: str, message: Exchange) -> None:
         try:
-            await self._send_and_mend(address, message)
+            await self._exchange(address, message)
         except ChannelError as error:
             logger.debug("spread: {}", error)
 
-    async def _poll_quietly(self) -> None:
+    async def _try_poll(self) -> None:
         try:
             await self.poll_platform()
             self.platform_up = True
@@ -169,19 +169,20 @@
                 logger.warning("spread: platform is unreachable: {}", error)
             self.platform_up = False
 
-    async def _exchange_quietly(self, address: str) -> None:
+    async def _try_exchange(self, address: str) -> None:
         try:
             await self.exchange_with(address)
         except ChannelError as error:
             logger.debug("spread: {}", error)
 
-    async def _send_and_mend(self, address: str, message: Exchange) -> Exchange:
-        theirs = await self._send(address, message)
-        self._hear(theirs)
-        missing = self._message_for(theirs.versions)
+    async def _exchange(self, address: str, message: Exchange) -> Exchange:
+        """Send a message, install the reply's patches and send those it lacks."""
+        reply = await self._send(address, message)
+        self._receive(reply)
+        missing = self._message_for(reply.versions)
         if missing.patches:
             await self._send(address, missing)
-        return theirs
+        return reply
 
     async def _send(self, address: str, message: Exchange) -> Exchange:
         return await call_json(
@@ -191,7 +192,7 @@
             EXCHANGE_PATH,
             message,
             Exchange,
-            EXCHANGE_TIMEOUT,
+            EXCHANGE_TIMEOUT_SECONDS,
             packed=True,
         )
 
@@ -207,11 +208,11 @@
             self.source_healthy_seconds(),
         )
 
-    def _hear(self, heard: Exchange) -> None:
-        self.install_all(heard.patches)
+    def _receive(self, received: Exchange) -> None:
+        self.install_all(received.patches)
 
     def install_all(self, patches: list[FeedPatch]) -> None:
-        """Install patches, whichever of them lead to a higher version."""
+        """Install those patches that lead to a newer version."""
         for patch in patches:
             self._install(patch)
 
@@ -221,11 +222,11 @@
             return
         try:
             if feed.install(patch) and feed.name in LOGGED_FEEDS:
-                logger.info("spread: {} {} is in force", feed.name, feed.number)
+                logger.info("spread: {} version {} installed", feed.name, feed.number)
         except FeedGapError as error:
             logger.debug("spread: {}", error)
 
-    def _on_poll_duty(self) -> bool:
+    def _is_poller(self) -> bool:
         """Tell whether this process polls the platform now."""
         return self.poller_selection.selected()
 
@@ -237,4 +238,4 @@
     def _start_peers(self) -> list[str]:
         local = [row.address for row in self.peers()]
         self.rng.shuffle(local)
-        return local[:START_PEERS]
+        return local[:MAX_START_PEERS]
--- a/packages/common/src/briarthread_common/spread/feed_source.py
+++ b/packages/common/src/briarthread_common/spread/feed_source.py
@@ -1,4 +1,4 @@
-"""Where the feeds of a process come from."""
+"""Interfaces of the sources of feeds."""
 
 from typing import Protocol
 
@@ -10,21 +10,21 @@
     """Read feeds from the platform; every call may raise PlatformError."""
 
     async def poll(self, feeds: FeedSet) -> list[FeedPatch]:
-        """Return a patch for each feed of which the platform has more."""
+        """Return a patch for each feed of which the platform has a newer version."""
         ...
 
 
 class LongPollSource(FeedSource, Protocol):
     """
-    A source that holds a call open until there is something new.
+    A source that holds a call open until there is a change.
 
-    ``long_poll`` returns what changed after a version, and the version up to
-    which nothing else did. It raises HistoryGoneError when the source no
-    longer has what lies in between; ``read_snapshot`` then gives all of it.
+    ``long_poll`` returns the changes after a version, and the version up to which
+    they are complete. It raises HistoryGoneError if the source no longer has the
+    changes in between; ``read_snapshot`` then returns all items.
     """
 
     async def read_snapshot(self, feed: str) -> FeedPatch:
-        """Return all items of a feed as of one moment."""
+        """Return all items of a feed as of one point in time."""
         ...
 
     async def long_poll(self, feed: str, after: int, wait: float) -> FeedPatch:
--- a/packages/common/src/briarthread_common/spread/long_poll_replicator.py
+++ b/packages/common/src/briarthread_common/spread/long_poll_replicator.py
@@ -1,4 +1,4 @@
-"""A spreader whose platform holds calls open until there is something new."""
+"""Replication of feeds from a platform that supports long polling."""
 
 import random
 
@@ -21,55 +21,61 @@
 from briarthread_common.spread.replication_options import ReplicationOptions
 from briarthread_common.spread.source_health import SourceHealth
 
-FOLLOW_SECONDS = 4.0
-"""Longest wait in one call. A silent platform is noticed after it at the
-latest, and what is written once it is back must be in force in seconds."""
-FOLLOW_PAUSE = 0.25
-"""Seconds between two calls for one feed, so that a rush of changes makes few
-calls; a change waits no longer than this, far under the two seconds it has."""
+LONG_POLL_SECONDS = 4.0
+"""Maximum wait in one call, in seconds. It bounds the time to notice that the platform
+is silent, and what is written after its return must be in force within seconds."""
+LONG_POLL_PAUSE_SECONDS = 0.25
+"""Pause between two calls for one feed, in seconds, so that a burst of changes takes
+few calls. It is the maximum added delay of a change, far below the allowed two
+seconds."""
 RETRY_SECONDS = 0.4
-"""Mean pause after a failed call: soon enough to hear of a change in time once
-the platform is back, seldom enough not to press it while it is not."""
-FOLLOWERS = 3
-"""Number of entries per data centre that follow the platform directly. Where there
-are no more entries than this, all of them follow, so an entry that loses its
-connection to the platform does not delay the others."""
-WATCH_SECONDS = 0.5
-"""How often one that does not follow asks one that does. A follower notices
-within some 1.3 s that it is cut off; both have to fit into the two seconds
-that a change has to be in force everywhere."""
-WATCH_AGENT_SECONDS = 2.0
-"""The same for an agent, which serves no caller: of what changes it needs only
-where its peers and their engines are, and those who come are told of at once."""
-TRUSTED_AGE = FOLLOW_SECONDS + 1.5
-"""Seconds after which a follower's last word from the platform is too old: a
-call that is held open ends before, and then one more answer is due."""
-WATCH_TRIES = 2
-"""Followers asked in a row; a third would come too late where both are silent."""
-SEED_PATIENCE = 2.0
-"""How long one that does not follow asks the seeds before it asks the platform, s.
-Every call to the platform is paid for, and agents are more than half of all who
-start; their first seconds serve nobody, but stale seeds must not hold them up."""
-UNLISTED_SECONDS = 2.0
-"""Time over which entries that start begin to follow without being listed. Where a
-whole deployment starts, those who come first read the list and tell the others."""
-SEED_SECONDS = 0.4
-"""Pause between two such tries; entries that start at the same time have read the
-platform by then."""
-STAND_IN_SECONDS = 3.0
-"""How long one follows itself after its followers failed it."""
+"""Mean pause after a failed call, in seconds: short enough to read changes in time once
+the platform is back, long enough not to overload it while it is down."""
+LONG_POLLERS = 3
+"""Number of entries per data centre that poll the platform directly. Where there are no
+more entries than this, all of them poll, so an entry that loses its connection to the
+platform does not delay the others."""
+POLLER_CHECK_SECONDS = 0.5
+"""Interval, in seconds, at which an entry that does not poll exchanges with a poller.
+A poller takes about 1.3 s to notice that it is cut off. Both times together must stay
+below the two seconds in which a change has to be in force everywhere."""
+AGENT_POLLER_CHECK_SECONDS = 2.0
+"""The same interval for an agent. It can be longer because an agent serves no callers:
+it only needs the addresses of its peers and their engines, and new instances are pushed
+to it at once."""
+MAX_SOURCE_AGE_SECONDS = LONG_POLL_SECONDS + 1.5
+"""Maximum age, in seconds, of the last answer that a poller had from the platform. A
+long poll ends before this, and one more answer is due then."""
+POLLER_CHECK_TRIES = 2
+"""Number of pollers tried in a row. A third would come too late if the first two do
+not answer."""
+SEED_TIMEOUT_SECONDS = 2.0
+"""Time, in seconds, for which an agent asks the seeds before it asks the platform.
+Calls to the platform are charged for, and agents are more than half of the starting
+processes. An agent serves nobody in its first seconds, but outdated seeds must not
+delay it any longer."""
+START_JITTER_SECONDS = 2.0
+"""Interval, in seconds, over which starting entries that are not listed yet begin to
+poll. When a whole deployment starts, the first ones read the list and push it to the
+others."""
+SEED_RETRY_SECONDS = 0.4
+"""Pause between two rounds over the seeds, in seconds. Entries that start at the same
+time have read the platform by then."""
+FALLBACK_POLL_SECONDS = 3.0
+"""Time, in seconds, for which an entry polls the platform itself after its pollers
+failed."""
 
 
 class LongPollReplicator(FeedReplicator):
     """
-    Follow the platform's feeds, or follow those who do.
+    Replicate feeds from the platform by long polling, or from the pollers.
 
-    A few entries of each data centre hold calls open at the platform and
-    tell the others at once. One that does not follow asks a follower now and
-    then; when that one is silent, or has not heard from the platform itself,
-    it follows on its own for a while. One that the platform turns away hears
-    from peers of every data centre. With ``may_poll`` off, as for an agent, it
-    follows only while it knows no entry.
+    A few entries of each data centre, the pollers, hold calls open at the platform
+    and push changes to the others at once. Any other entry periodically exchanges
+    with a poller. If the pollers do not answer, or have no recent answer from the
+    platform themselves, the entry polls the platform for a while. A poller that the
+    platform rejects exchanges with peers of all data centres. With ``may_poll``
+    off, as for an agent, the process polls only while it knows no entry.
     """
 
     def __init__(
@@ -83,84 +89,86 @@
         may_poll: bool = True,
     ) -> None:
         super().__init__(options, feeds, directory, source, channel, rng)
-        self.poller_selection.poller_count = FOLLOWERS
+        self.poller_selection.poller_count = LONG_POLLERS
         self.may_poll = may_poll
-        self.followed = source
+        self.long_poll_source = source
         self.health = SourceHealth()
-        self.standing_in_until = 0.0
-        self.unlisted_until = 0.0
-        self.peers_well = SourceHealth()
+        self.fallback_until = 0.0
+        self.start_jitter_until = 0.0
+        self.peer_health = SourceHealth()
 
     def source_age(self) -> float:
-        """Return the seconds since the platform was last heard from."""
+        """Return the seconds since the platform's last answer."""
         return self.health.age(anyio.current_time())
 
     def source_healthy_seconds(self) -> float:
-        """Return for how long the platform has answered this process."""
+        """Return the seconds for which the platform has been up, 0 if it is down."""
         return self.health.healthy_for(anyio.current_time())
 
     def healthy_since(self) -> float:
         """
-        Return since when the platform is known to be well; now if it is not.
+        Return since when the platform is known to be healthy; now if it is not.
 
-        One that follows knows by itself. Any other takes the word of those
-        who do, as long as that is fresh.
+        A poller observes this itself. Any other process relies on the pollers'
+        reports while they are recent.
         """
         now = anyio.current_time()
-        health = self.health if self._on_poll_duty() else self.peers_well
-        if not health.up or health.age(now) > TRUSTED_AGE:
+        health = self.health if self._is_poller() else self.peer_health
+        if not health.up or health.age(now) > MAX_SOURCE_AGE_SECONDS:
             return now
         return health.healthy_since
 
-    def _hear(self, heard: Exchange) -> None:
-        if heard.source_well > 0:
+    def _receive(self, received: Exchange) -> None:
+        if received.source_well > 0:
             now = anyio.current_time()
-            self.peers_well.note_success(now)
-            self.peers_well.healthy_since = now - heard.source_well
-        super()._hear(heard)
+            self.peer_health.note_success(now)
+            self.peer_health.healthy_since = now - received.source_well
+        super()._receive(received)
 
     async def catch_up(self) -> None:
-        """Take the highest versions; one that does not follow asks an entry first."""
+        """Install the newest versions; agents ask the seeds before the platform."""
         if not self.may_poll and await self._start_from_seed():
             self.started.set()
             return
         await super().catch_up()
         if self.platform_up:
-            pause = self.rng.uniform(0.0, UNLISTED_SECONDS)
-            self.unlisted_until = anyio.current_time() + pause
+            pause = self.rng.uniform(0.0, START_JITTER_SECONDS)
+            self.start_jitter_until = anyio.current_time() + pause
 
     async def _start_from_seed(self) -> bool:
-        """Tell whether some entry gave all feeds, and the platform need not."""
+        """Try to get all feeds from a seed; tell whether that succeeded."""
         seeds = self.options.seeds
-        with anyio.move_on_after(SEED_PATIENCE):
+        with anyio.move_on_after(SEED_TIMEOUT_SECONDS):
             while seeds:
                 for address in self.rng.sample(seeds, len(seeds)):
-                    await self._exchange_quietly(address)
+                    await self._try_exchange(address)
                     if all(feed.number for feed in self.feeds.all()):
                         return True
-                await anyio.sleep(SEED_SECONDS)
+                await anyio.sleep(SEED_RETRY_SECONDS)
         return False
 
     async def _poll_loop(self) -> None:
         async with anyio.create_task_group() as tasks:
             for feed in self.feeds.all():
-                tasks.start_soon(self._follow_loop, feed)
+                tasks.start_soon(self._long_poll_loop, feed)
 
     async def _exchange_loop(self) -> None:
         while True:
-            pause = WATCH_SECONDS if self.may_poll else WATCH_AGENT_SECONDS
+            pause = (
+                POLLER_CHECK_SECONDS if self.may_poll else AGENT_POLLER_CHECK_SECONDS
+            )
             await anyio.sleep(pause * self.rng.uniform(0.8, 1.2))
-            if not self._on_poll_duty():
-                await self._watch_follower()
-            elif self.source_age() > TRUSTED_AGE:
-                await self._ask_any_peer()
+            if not self._is_poller():
+                await self._exchange_with_poller()
+            elif self.source_age() > MAX_SOURCE_AGE_SECONDS:
+                await self._exchange_with_any_peer()
 
-    async def _follow_loop(self, feed: Feed) -> None:
+    async def _long_poll_loop(self, feed: Feed) -> None:
         cursor = 0
         while True:
-            if not self._on_poll_duty() or not self._may_call(feed):
-                await anyio.sleep(FOLLOW_PAUSE)
-                cursor = 0 if not self._on_poll_duty() else cursor
+            if not self._is_poller() or not self._may_call(feed):
+                await anyio.sleep(LONG_POLL_PAUSE_SECONDS)
+                cursor = 0 if not self._is_poller() else cursor
                 continue
             cursor = max(cursor, feed.number)
             try:
@@ -170,94 +178,99 @@
                 await anyio.sleep(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
                 continue
             self._note_up()
-            self._take(feed, patch)
+            self._install_after(feed, patch)
             cursor = max(cursor, patch.number)
-            await anyio.sleep(FOLLOW_PAUSE)
+            await anyio.sleep(LONG_POLL_PAUSE_SECONDS)
 
     def _may_call(self, feed: Feed) -> bool:
-        """Tell whether to call; while the platform is away, one feed finds out."""
+        """Tell whether to call; while the platform is down, only one feed probes it."""
         return self.health.up or feed is self.feeds.all()[0]
 
     async def _next_patch(self, feed: Feed, cursor: int) -> FeedPatch:
         if cursor == 0:
-            return await self.followed.read_snapshot(feed.name)
-        wait = FOLLOW_SECONDS if self.health.up else 0.0
+            return await self.long_poll_source.read_snapshot(feed.name)
+        wait = LONG_POLL_SECONDS if self.health.up else 0.0
         try:
-            return await self.followed.long_poll(feed.name, cursor, wait)
+            return await self.long_poll_source.long_poll(feed.name, cursor, wait)
         except HistoryGoneError as error:
-            logger.info("spread: {}: {}; reading all anew", feed.name, error)
-            return await self.followed.read_snapshot(feed.name)
+            logger.info("spread: {}: {}; reading a snapshot", feed.name, error)
+            return await self.long_poll_source.read_snapshot(feed.name)
 
-    def _take(self, feed: Feed, patch: FeedPatch) -> None:
+    def _install_after(self, feed: Feed, patch: FeedPatch) -> None:
         """
         Install a patch, which may start above the feed's own version.
 
-        Calls that ended without news moved the cursor and not the feed, so
-        what lies between the two is known to be nothing.
+        Calls that ended without changes advanced the cursor but not the feed, so
+        no change lies between the two versions.
         """
         if not patch.changes and patch.base:
             return
         base = min(patch.base, feed.number)
         self.install_all([FeedPatch(feed.name, base, patch.number, patch.changes)])
 
-    async def _watch_follower(self) -> None:
+    async def _exchange_with_poller(self) -> None:
         """
-        Ask a follower, and where it cannot help another one, before all do its work.
+        Exchange with a poller, and with another one if the first is of no use.
 
-        One that has died is missed by every entry of its data centre at once.
+        Without the second try, all entries of a data centre would poll the platform
+        at once when a poller dies.
         """
-        followers = self.poller_selection.addresses()
-        if not followers:
-            self._stand_in("no entry is known")
+        pollers = self.poller_selection.addresses()
+        if not pollers:
+            self._start_fallback("no entry is known")
             return
         faults: list[str] = []
-        for address in self.rng.sample(followers, min(len(followers), WATCH_TRIES)):
-            fault = await self._fault_of(address)
+        for address in self.rng.sample(pollers, min(len(pollers), POLLER_CHECK_TRIES)):
+            fault = await self._poller_fault(address)
             if not fault:
                 return
             faults.append(fault)
-        await self._do_without(", ".join(faults))
+        await self._bypass_pollers(", ".join(faults))
 
-    async def _fault_of(self, follower: str) -> str:
-        """Exchange with a follower; return why it is of no use, or nothing."""
+    async def _poller_fault(self, poller: str) -> str:
+        """Exchange with a poller; return why it is of no use, or an empty string."""
         try:
-            heard = await self.exchange_with(follower)
+            received = await self.exchange_with(poller)
         except ChannelError as error:
-            return f"{follower}: {error}"
-        if heard.source_well <= 0 or heard.source_age > TRUSTED_AGE:
-            return f"{follower} heard nothing for {heard.source_age:.1f} s"
+            return f"{poller}: {error}"
+        if received.source_well <= 0 or received.source_age > MAX_SOURCE_AGE_SECONDS:
+            return (
+                f"{poller} has had no platform answer for {received.source_age:.1f} s"
+            )
         return ""
 
-    async def _do_without(self, reason: str) -> None:
-        """Follow the platform, or where others are to do that, ask any peer."""
+    async def _bypass_pollers(self, reason: str) -> None:
+        """Poll the platform, or exchange with any peer if this process may not poll."""
         if self.may_poll:
-            self._stand_in(reason)
+            self._start_fallback(reason)
         else:
-            await self._ask_any_peer()
+            await self._exchange_with_any_peer()
 
-    async def _ask_any_peer(self) -> None:
+    async def _exchange_with_any_peer(self) -> None:
         address = self._random_peer()
         if address is not None:
-            await self._exchange_quietly(address)
+            await self._try_exchange(address)
 
-    def _stand_in(self, reason: str) -> None:
-        if not self._on_poll_duty():
-            logger.info("spread: following the platform itself: {}", reason)
-        self.standing_in_until = anyio.current_time() + STAND_IN_SECONDS
+    def _start_fallback(self, reason: str) -> None:
+        if not self._is_poller():
+            logger.info("spread: polling the platform as a fallback: {}", reason)
+        self.fallback_until = anyio.current_time() + FALLBACK_POLL_SECONDS
 
-    def _on_poll_duty(self) -> bool:
-        if anyio.current_time() < self.standing_in_until:
+    def _is_poller(self) -> bool:
+        if anyio.current_time() < self.fallback_until:
             return True
-        if anyio.current_time() < self.unlisted_until:
+        if anyio.current_time() < self.start_jitter_until:
             return self.options.name in self.poller_selection.names()
-        return self.may_poll and super()._on_poll_duty()
+        return self.may_poll and super()._is_poller()
 
     def _note_down(self, feed: Feed, error: PlatformError) -> None:
         if self.health.note_failure(anyio.current_time()):
-            logger.warning("spread: platform lost at {}: {}", feed.name, error)
+            logger.warning(
+                "spread: platform is unreachable, reading {}: {}", feed.name, error
+            )
         self.platform_up = False
 
     def _note_up(self) -> None:
         if self.health.note_success(anyio.current_time()):
-            logger.info("spread: platform answers again")
+            logger.info("spread: platform is reachable")
         self.platform_up = True
--- a/packages/common/src/briarthread_common/spread/poller_selection.py
+++ b/packages/common/src/briarthread_common/spread/poller_selection.py
@@ -1,4 +1,4 @@
-"""Which entries of a data centre read the platform for all."""
+"""Selection of the entries of a data centre that poll the platform."""
 
 from briarthread_common.messages.instance import Instance
 from briarthread_common.spread.directory import Directory
@@ -7,10 +7,11 @@
 
 class PollerSelection:
     """
-    Tell who polls the platform, alike in every process that knows the same list.
+    Select the entries that poll the platform, by rendezvous hashing.
 
-    ``poller_count`` is how many entries of the data centre do. The order is worked out
-    once a list: who polls is asked many times a second.
+    Every process that knows the same list of instances selects the same ones.
+    ``poller_count`` is the number of entries of the data centre that poll. The order
+    is computed once per list because it is queried many times a second.
     """
 
     def __init__(
@@ -24,16 +25,16 @@
         self.order: list[str] = []
 
     def names(self) -> list[str]:
-        """Return the names of the entries here that are to poll."""
+        """Return the names of this data centre's pollers."""
         rows = self.directory.all()
         if self.rows is not rows:
             self.rows = rows
-            here = self.directory.entries(self.data_centre)
-            self.order = rendezvous_order("poll", [row.name for row in here])
+            local_entries = self.directory.entries(self.data_centre)
+            self.order = rendezvous_order("poll", [row.name for row in local_entries])
         return self.order[: self.poller_count]
 
     def addresses(self) -> list[str]:
-        """Return where those who are to poll are called."""
+        """Return the addresses of this data centre's pollers."""
         names = self.names()
         return [self.directory.all()[name].address for name in names]
 
@@ -41,8 +42,8 @@
         """
         Tell whether this process is to poll.
 
-        Without a list, or where no entry is listed, everyone is, and so is one
-        that is not listed itself.
+        Every process polls while no entry is listed, and so does a process that is
+        not listed itself.
         """
         names = self.names()
         if not names:
--- a/packages/common/src/briarthread_common/spread/replication_options.py
+++ b/packages/common/src/briarthread_common/spread/replication_options.py
@@ -1,11 +1,11 @@
-"""The settings of the spread."""
+"""Settings of the feed replication."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicationOptions:
-    """Hold the settings of the spread; times are in seconds."""
+    """Settings of the feed replication; times are in seconds."""
 
     name: str
     data_centre: str
--- a/packages/common/src/briarthread_common/spread/table_source.py
+++ b/packages/common/src/briarthread_common/spread/table_source.py
@@ -1,4 +1,4 @@
-"""The feeds as they lie in the platform's table."""
+"""Feeds read from the platform's table."""
 
 from briarthread_common.feeds.feed_patch import FeedPatch
 from briarthread_common.feeds.feed_set import FeedSet
@@ -13,8 +13,8 @@
         self.platform = platform
 
     async def poll(self, feeds: FeedSet) -> list[FeedPatch]:
-        """Return a patch for each feed of which the platform has more."""
-        found = [await self.platform.instances_since(feeds.instances.number)]
+        """Return a patch for each feed of which the platform has a newer version."""
+        patches = [await self.platform.instances_since(feeds.instances.number)]
         stores = {
             FeedStore(self.platform, feed.name): feed
             for feed in (feeds.text, feeds.shares)
@@ -22,5 +22,5 @@
         heads = await self.platform.read([store.head_key() for store in stores])
         for store, feed in stores.items():
             newest = head_version(heads.get(store.head_key()))
-            found.append(await store.read_between(feed.number, newest))
-        return [patch for patch in found if patch is not None]
+            patches.append(await store.read_between(feed.number, newest))
+        return [patch for patch in patches if patch is not None]
--- a/packages/common/src/briarthread_common/spread/tree.py
+++ b/packages/common/src/briarthread_common/spread/tree.py
@@ -1,46 +1,46 @@
-"""The tree along which a new version is told."""
+"""Tree along which new versions of a feed are pushed."""
 
 from collections.abc import Sequence
 
 from briarthread_common.messages.instance import Instance, InstanceRole
 
 FANOUT = 3
-"""How many entries each one tells at once when a feed has moved."""
+"""Number of entries to which each entry pushes a new version."""
 
 
 def push_targets(name: str, tree: Sequence[Instance]) -> list[Instance]:
     """
-    Return the instances that one of a tree sends a new version to.
+    Return the instances to which an instance pushes a new version.
 
-    The entries of the tree lie in their list level by level. Agents are told
-    by the entries, shared out evenly, and tell nobody: the link of an agent's
-    instance carries its target's answers, and a large text on it holds them
-    up. Where no entry is listed the agents make a tree of their own. One that
-    is not listed yet tells the first.
+    The list holds the entries of the tree level by level. Agents are distributed
+    evenly over the entries and push to nobody: an agent shares its instance's link
+    with the target's responses, which a large text would delay. If no entry is
+    listed, the agents form a tree of their own. An entry that is not listed yet
+    pushes to the first ones.
     """
     entries = [row for row in tree if row.role is InstanceRole.ENTRY]
     if not entries:
-        return _below(name, tree)
+        return _children(name, tree)
     if all(row.name != name for row in entries):
         return [] if any(row.name == name for row in tree) else entries[:FANOUT]
-    place = next(i for i, row in enumerate(entries) if row.name == name)
+    index = next(i for i, row in enumerate(entries) if row.name == name)
     agents = [row for row in tree if row.role is not InstanceRole.ENTRY]
-    return [*_below(name, entries), *agents[place :: len(entries)]]
+    return [*_children(name, entries), *agents[index :: len(entries)]]
 
 
 def root_of(name: str, tree: Sequence[Instance]) -> Instance | None:
     """
-    Return the root of a tree, which every one tells of what it has heard.
+    Return the root of a tree, ``None`` for the root itself.
 
-    Where a version comes in does not matter then: the whole tree hears of it.
-    It is ``None`` for the root itself.
+    Every instance sends new versions to the root, so that they reach the whole tree
+    wherever they come in.
     """
     entries = [row for row in tree if row.role is InstanceRole.ENTRY]
     first = next(iter(entries or tree), None)
     return None if first is None or first.name == name else first
 
 
-def _below(name: str, rows: Sequence[Instance]) -> list[Instance]:
+def _children(name: str, rows: Sequence[Instance]) -> list[Instance]:
     names = [row.name for row in rows]
     if name not in names:
         return list(rows[:FANOUT])
