--- a/packages/common/src/briarthread_common/direct/__init__.py
+++ b/packages/common/src/briarthread_common/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Routes to targets that have no agent before them."""
+"""Routes to targets that entries call directly, without an agent in between."""
--- a/packages/common/src/briarthread_common/direct/call_kind.py
+++ b/packages/common/src/briarthread_common/direct/call_kind.py
@@ -1,10 +1,10 @@
-"""What may be repeated of a route's requests."""
+"""Kinds of requests by whether they may be retried."""
 
 from enum import StrEnum
 
 
 class CallKind(StrEnum):
-    """Tell how often a request may run and what its answer is."""
+    """Kind of a route's requests: safe to retry, unsafe to retry, or a stream."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
--- a/packages/common/src/briarthread_common/direct/caller_limits.py
+++ b/packages/common/src/briarthread_common/direct/caller_limits.py
@@ -1,11 +1,11 @@
-"""What callers may send and how long they may be idle."""
+"""Limits on the requests of callers."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bound a caller's request in bytes and its pauses in seconds."""
+    """Limits on a caller's request: sizes in bytes, time-outs in seconds."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 4 * 1024 * 1024
--- a/packages/common/src/briarthread_common/direct/direct_service.py
+++ b/packages/common/src/briarthread_common/direct/direct_service.py
@@ -1,4 +1,4 @@
-"""A service whose targets are called directly."""
+"""Service whose targets are called directly."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 @dataclass(frozen=True, slots=True)
 class DirectService:
     """
-    Describe a service.
+    A service whose targets are called directly.
 
-    ``engine`` is there for model engines only, and ``experts`` for those whose
-    ranks share experts.
+    ``engine`` is set for model engines only, ``experts`` only for those whose experts
+    are distributed over ranks.
 
-    A target takes ``max_connections`` from all callers together.
+    A target accepts ``max_connections`` connections from all callers together.
     """
 
     name: str
--- a/packages/common/src/briarthread_common/direct/direct_target.py
+++ b/packages/common/src/briarthread_common/direct/direct_target.py
@@ -1,4 +1,4 @@
-"""One target that is called directly."""
+"""Target that is called directly."""
 
 from dataclasses import dataclass
 
@@ -6,10 +6,10 @@
 @dataclass(frozen=True, slots=True)
 class DirectTarget:
     """
-    Describe one run of a target, as the platform lists it.
+    One run of a target, as listed by the platform.
 
-    ``name`` is new at each start of the target, so that it names the run and
-    not the address. ``leaving`` says that no new work may be sent.
+    ``name`` changes with each start of the target, so it identifies the run and not
+    the address. ``leaving`` means that no new requests may be sent.
     """
 
     name: str
--- a/packages/common/src/briarthread_common/direct/engine_profile.py
+++ b/packages/common/src/briarthread_common/direct/engine_profile.py
@@ -1,4 +1,4 @@
-"""What is known beforehand of the speed of a model engine."""
+"""Performance profile of a model engine."""
 
 from dataclasses import dataclass
 
@@ -6,15 +6,15 @@
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
     """
-    Hold the figures from which the length of an engine's pass is predicted.
+    Parameters from which the duration of an engine's pass is predicted.
 
-    ``slots`` requests are processed at once on a rank. A step takes
-    ``step_seconds``, plus ``decode_seconds`` for each request that writes,
-    plus ``context_seconds`` a thousand tokens of their contexts. Prompts are
-    read at ``prefill_rate`` tokens a second, at most ``prefill_chunk`` a step, plus
-    ``token_pair_seconds`` a million pairs of tokens. A pass with writers has
-    ``steps_per_pass`` steps, each of one token. ``expert_share`` of the work lies
-    with the experts.
+    A rank processes ``slots`` requests at once. A step takes ``step_seconds``, plus
+    ``decode_seconds`` for each request in decode, plus ``context_seconds`` per
+    thousand tokens of their contexts. Prefill processes ``prefill_rate`` tokens per
+    second, at most ``prefill_chunk`` tokens per step, and takes another
+    ``token_pair_seconds`` per million pairs of tokens. A pass with requests in decode
+    has ``steps_per_pass`` steps of one token each. ``expert_share`` is the fraction of
+    the work done by the experts.
     """
 
     slots: int
--- a/packages/common/src/briarthread_common/direct/expert_layout.py
+++ b/packages/common/src/briarthread_common/direct/expert_layout.py
@@ -1,4 +1,4 @@
-"""What is known beforehand of the experts of a service's groups."""
+"""Layout of the experts in the groups of a service."""
 
 from dataclasses import dataclass
 
@@ -6,10 +6,10 @@
 @dataclass(frozen=True, slots=True)
 class ExpertLayout:
     """
-    Describe where experts may lie: ``sets`` sets of ``experts`` each.
+    Constraints on the placement of ``sets`` sets of ``experts`` experts each.
 
-    A rank holds at most ``slots_per_rank`` experts of a set, and takes on at most
-    ``max_new_experts`` that are new to it in one change.
+    A rank holds at most ``slots_per_rank`` experts of a set, and loads at most
+    ``max_new_experts`` new ones in one change.
     """
 
     sets: int
--- a/packages/common/src/briarthread_common/direct/group_id.py
+++ b/packages/common/src/briarthread_common/direct/group_id.py
@@ -1,4 +1,4 @@
-"""The name of a lock-step group."""
+"""Identifier of a lock-step group."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 @dataclass(frozen=True, slots=True, order=True)
 class GroupId:
     """
-    Name one of the groups that the ranks of a service form.
+    Identify one of the groups that the ranks of a service form.
 
     ``name`` is empty for ranks whose group is not known.
 
--- a/packages/common/src/briarthread_common/direct/header_names.py
+++ b/packages/common/src/briarthread_common/direct/header_names.py
@@ -1,4 +1,4 @@
-"""The header names that callers and direct targets use."""
+"""Header names that callers and direct targets use."""
 
 from dataclasses import dataclass
 
@@ -6,14 +6,14 @@
 @dataclass(frozen=True, slots=True)
 class HeaderNames:
     """
-    Name each header by what it says; all names are lower case.
+    Map the meaning of each header to its name; all names are lower case.
 
-    ``time_left`` is in milliseconds. ``token_counts`` holds the tokens of the prompt
-    and the most of the answer. ``not_run`` on an answer says that the target
-    did not run the request; ``target_stamp`` is there on every answer that a
-    target made. ``rate_limit`` is the number of requests per second that a target
-    accepts from all callers together while it limits its load. ``leaving``
-    announces that the target is shutting down.
+    ``time_left`` is in milliseconds. ``token_counts`` holds the number of tokens of
+    the prompt and the maximum number of the answer. ``not_run`` on a response says
+    that the target did not run the request. ``target_stamp`` is present on every
+    response that a target itself produced. ``rate_limit`` is the number of requests
+    per second that a target accepts from all callers together while it limits its
+    load. ``leaving`` announces that the target is shutting down.
     """
 
     request_id: str
--- a/packages/common/src/briarthread_common/direct/host_route.py
+++ b/packages/common/src/briarthread_common/direct/host_route.py
@@ -1,4 +1,4 @@
-"""One route of a host."""
+"""Route of a host."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteShare:
-    """Give a service its weight among those that a route is split over."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
@@ -16,12 +16,12 @@
 @dataclass(frozen=True, slots=True)
 class HostRoute:
     """
-    Send the requests of a host and a path prefix to services.
+    Route the requests of a host and a path prefix to services.
 
-    Times are in seconds: ``timeout`` until the final answer, ``slo`` until
-    the answer (of a stream, its first event) is still in time, ``gap_slo``
-    between two events. A lower ``priority`` is served first.
-    ``max_attempts`` counts the targets that one request may be sent to.
+    Times are in seconds. ``timeout`` bounds the time to the complete answer. ``slo``
+    is the latency objective of the answer (of a stream, of its first event),
+    ``gap_slo`` that of the gap between two events. A lower ``priority`` is served
+    first. ``max_attempts`` is the number of targets to which one request may be sent.
     """
 
     name: str
@@ -38,8 +38,8 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
-        """Tell whether a request may run again after it may have run."""
+    def retryable(self) -> bool:
+        """Tell whether a request that may have run may be retried."""
         match self.kind:
             case CallKind.SAFE:
                 return True
--- a/packages/common/src/briarthread_common/direct/load_adapter.py
+++ b/packages/common/src/briarthread_common/direct/load_adapter.py
@@ -1,4 +1,4 @@
-"""Loading of the adapter to a platform by its module's name."""
+"""Loading of a platform adapter by the name of its module."""
 
 import importlib
 
@@ -6,13 +6,13 @@
 from briarthread_common.core.exceptions import ChecksFailed
 from briarthread_common.direct.platform_adapter import PlatformAdapter
 
-PLACE = "[direct] adapter"
+OPTION = "[direct] adapter"
 HINT = "Name an installed module that holds ADAPTER."
 
 
 def load_adapter(module: str) -> PlatformAdapter:
     """
-    Return the ADAPTER of a module, or raise ChecksFailed saying why not.
+    Return the ADAPTER of a module; raise ChecksFailed if it cannot be loaded.
 
     >>> load_adapter("nowhere")
     Traceback (most recent call last):
@@ -24,5 +24,5 @@
     try:
         return importlib.import_module(module).ADAPTER
     except (ImportError, AttributeError, TypeError, ValueError) as error:
-        fault = CheckMessage("conf.E006", PLACE, f"cannot be loaded: {error}", HINT)
+        fault = CheckMessage("conf.E006", OPTION, f"cannot be loaded: {error}", HINT)
         raise ChecksFailed([fault]) from error
--- a/packages/common/src/briarthread_common/direct/platform_adapter.py
+++ b/packages/common/src/briarthread_common/direct/platform_adapter.py
@@ -1,4 +1,4 @@
-"""What the product needs from the platform that it runs on."""
+"""Interfaces that a platform adapter implements."""
 
 from typing import Protocol
 
@@ -12,41 +12,41 @@
 
 
 class PlatformStore(LongPollSource, Protocol):
-    """The platform's store, as a source of feeds and a list of our instances."""
+    """Store of the platform: a source of feeds, a list of instances and of roles."""
 
     async def register_instance(self, instance: Instance) -> None:
-        """Enter an instance of ours in the list; raise PlatformError."""
+        """Add one of our instances to the list; may raise PlatformError."""
         ...
 
     async def acquire_role(self, role: str, holder: str) -> int | None:
         """
-        Take a duty over from whoever has it; raise PlatformError.
+        Take a role over from its present holder; may raise PlatformError.
 
-        Return a number that is higher than at every earlier taking, or
-        ``None`` when another one was faster.
+        Return a fencing token, a number higher than that of every earlier holder, or
+        ``None`` if another process acquired the role concurrently.
         """
         ...
 
 
 class PlatformAdapter(Protocol):
     """
-    Translate between a platform and the product's own types.
+    Translate between a platform and the types of briarthread.
 
-    The two decoders raise DecodeError for a row that cannot be read.
+    The two decoders raise DecodeError for an invalid row.
     """
 
     headers: HeaderNames
 
     def open_store(self, channel: Channel, address: str) -> PlatformStore:
-        """Return the store that answers at an address."""
+        """Return a client for the store at an address."""
         ...
 
     def open_rank(self, channel: Channel, address: str) -> RankClient:
-        """Return the engine of the rank at an address."""
+        """Return a client for the engine of the rank at an address."""
         ...
 
     def decode_routes(self, items: dict[str, str]) -> RouteMap | None:
-        """Return the configuration of a feed, ``None`` if there is none."""
+        """Return the configuration of a feed, ``None`` if it has none."""
         ...
 
     def decode_target(self, name: str, row: str) -> DirectTarget:
--- a/packages/common/src/briarthread_common/direct/rank_client.py
+++ b/packages/common/src/briarthread_common/direct/rank_client.py
@@ -1,24 +1,24 @@
-"""The interface to the engine of one rank."""
+"""Interface to the engine of one rank."""
 
 from typing import Protocol
 
 from briarthread_common.direct.rank_state import RankState
 
 Layers = list[list[list[int]]]
-"""The experts by set and rank."""
+"""Experts by set and rank."""
 
 
 class RankClient(Protocol):
     """
-    Read and order one rank's engine.
+    Query and control the engine of one rank.
 
-    Reading raises RankError when there is no proper answer. Orders tell
-    whether the engine took them; one without an answer may be carried out
-    later all the same, so only what the rank says of itself counts.
+    Queries raise RankError if there is no valid answer. Orders return whether the
+    engine accepted them. An order without an answer may still be carried out
+    later, so only the state that the rank reports is authoritative.
     """
 
     async def state(self) -> RankState:
-        """Return the rank's own word on itself."""
+        """Return the state that the rank reports."""
         ...
 
     async def counts(self) -> list[int]:
@@ -30,17 +30,17 @@
         ...
 
     async def prepare(self, epoch: int, version: int, layers: Layers) -> bool:
-        """Have the rank load what it lacks for a map."""
+        """Load the experts that the rank lacks for a map."""
         ...
 
     async def arm(self, epoch: int, version: int, step: int) -> bool:
-        """Have the rank switch to a prepared map as a pass begins."""
+        """Schedule the switch to a prepared map at the start of a pass."""
         ...
 
     async def hold(self, epoch: int, step: int) -> bool:
-        """Keep the group from beginning a pass."""
+        """Hold the group before the start of a pass."""
         ...
 
     async def go(self, epoch: int, step: int) -> bool:
-        """Let the group begin the pass that was held."""
+        """Let the group start the pass before which it is held."""
         ...
--- a/packages/common/src/briarthread_common/direct/rank_state.py
+++ b/packages/common/src/briarthread_common/direct/rank_state.py
@@ -1,11 +1,11 @@
-"""What one rank of a lock-step group says of itself."""
+"""State that a rank of a lock-step group reports."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class ArmedMap:
-    """A map to which a rank switches as a pass begins."""
+    """A map to which a rank switches at the start of pass ``step``."""
 
     version: int
     step: int
@@ -14,13 +14,13 @@
 @dataclass(frozen=True, slots=True)
 class RankState:
     """
-    Hold a rank's own word on itself.
+    State of a rank as reported by itself.
 
-    ``epoch`` counts the times that the group was formed. ``step`` is the last
-    pass that was begun. ``prepared`` is the version whose experts are all
-    loaded; ``held`` is the pass that the group does not begin until this
-    rank is told to go. ``running`` counts the requests that the rank works on;
-    ``slowdown`` is how many times longer than usual it takes for its work.
+    ``epoch`` counts the formations of the group. ``step`` is the last pass that was
+    started. ``prepared`` is the map version whose experts are all loaded. ``held`` is
+    the pass that the group does not start until this rank is told to go. ``running``
+    is the number of requests in progress on the rank. ``slowdown`` is the factor by
+    which the rank takes longer than usual for its work.
     """
 
     group: str
--- a/packages/common/src/briarthread_common/direct/read_backoff.py
+++ b/packages/common/src/briarthread_common/direct/read_backoff.py
@@ -7,7 +7,7 @@
 from briarthread_common.core.exceptions import DecodeError
 
 MAX_BACKOFF_SECONDS = 86400.0
-"""Upper bound of a backoff in seconds: a target is restarted within a day."""
+"""Upper bound of a backoff, in seconds: a target is restarted within a day."""
 
 
 def read_backoff(values: Iterable[str], date: str | None = None) -> float:
--- a/packages/common/src/briarthread_common/direct/response_signals.py
+++ b/packages/common/src/briarthread_common/direct/response_signals.py
@@ -1,4 +1,4 @@
-"""The backoff, failure and shutdown that the head of a target's response signals."""
+"""Backoff, failure and shutdown as signalled by the head of a target's response."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
 from briarthread_common.http.channel import ChannelResponse
 
 SERVICE_UNAVAILABLE = 503
-"""The status whose Retry-After is read (RFC 9110, 15.6.4)."""
+"""Status whose Retry-After field is read (RFC 9110, 15.6.4)."""
 SERVER_ERROR = 500
 RETRY_AFTER = "retry-after"
 LEAVING = "1"
@@ -19,7 +19,7 @@
 @dataclass(frozen=True, slots=True)
 class ResponseSignals:
     """
-    Hold what the head of a response says about its target.
+    Signals about a target in the head of its response.
 
     ``backoff`` is the requested backoff in seconds, 0.0 for none. ``failed`` is true
     for a 5xx response, which does not count as a success in the slow start. ``leaving``
--- a/packages/common/src/briarthread_common/direct/route_map.py
+++ b/packages/common/src/briarthread_common/direct/route_map.py
@@ -1,4 +1,4 @@
-"""Everything that the operator's configuration says, typed."""
+"""Typed configuration of the operator."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -12,11 +12,10 @@
 @dataclass(frozen=True, slots=True)
 class RouteMap:
     """
-    Hold one version of the configuration.
+    One version of the configuration.
 
-    ``routes`` gives the routes of each host, the longest prefix first;
-    ``accounts`` gives the account of each key. ``needs_key`` is off where the
-    operator has no accounts at all.
+    ``routes`` maps a host to its routes, the longest prefix first. ``accounts`` maps
+    an API key to its account. ``needs_key`` is false if the operator has no accounts.
     """
 
     version: int
@@ -27,7 +26,7 @@
     limits: CallerLimits = CallerLimits()
 
     def match(self, host: str, path: str) -> HostRoute | None:
-        """Return the route with the longest prefix of a path."""
+        """Return the route with the longest matching prefix, or ``None``."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/packages/common/src/briarthread_common/direct/route_view.py
+++ b/packages/common/src/briarthread_common/direct/route_view.py
@@ -1,4 +1,4 @@
-"""The configuration in force in one process."""
+"""Configuration in force in a process."""
 
 from loguru import logger
 
@@ -10,10 +10,10 @@
 
 class RouteView:
     """
-    Give the typed configuration of a feed, decoded once a version.
+    Return the typed configuration of a feed, decoded once per version.
 
-    One that cannot be decoded leaves the last good one in force, and so does
-    one with a lower version than was in force before.
+    The last valid configuration stays in force if a new one cannot be decoded or has
+    a lower version.
     """
 
     def __init__(self, feed: Feed, adapter: PlatformAdapter) -> None:
@@ -23,14 +23,14 @@
         self.routes: RouteMap | None = None
 
     async def follow(self) -> None:
-        """Decode each version as it comes, so that no request waits for it."""
+        """Decode each version on arrival, so that no request has to wait for it."""
         while True:
             number = self.feed.number
             self.current()
             await self.feed.wait_for_newer(number)
 
     def current(self) -> RouteMap | None:
-        """Return the newest configuration, ``None`` before the first."""
+        """Return the configuration in force, ``None`` before the first one."""
         if self.number != self.feed.number:
             self.number = self.feed.number
             self._decode()
@@ -40,25 +40,31 @@
         try:
             found = self.adapter.decode_routes(self.feed.items)
         except DecodeError as error:
-            logger.error("routes: {} kept in force: {}", self._version(), error)
+            logger.error(
+                "routes: version {} stays in force: {}", self._version(), error
+            )
             return
         if found is None:
-            self._note_none()
+            self._log_missing()
             return
         if found.version < self._version():
-            reason = f"{found.version} is older"
-            logger.warning("routes: {} kept in force: {}", self._version(), reason)
+            reason = f"version {found.version} is older"
+            logger.warning(
+                "routes: version {} stays in force: {}", self._version(), reason
+            )
             return
         if found.version > self._version():
             logger.info("routes: version {} is in force", found.version)
         self.routes = found
 
-    def _note_none(self) -> None:
+    def _log_missing(self) -> None:
         """Log that the platform lists no configuration."""
         if self.routes is None:
             logger.info("routes: no configuration is listed yet")
         else:
-            logger.warning("routes: {} kept in force: none is listed", self._version())
+            logger.warning(
+                "routes: version {} stays in force: none is listed", self._version()
+            )
 
     def _version(self) -> int:
         return self.routes.version if self.routes else 0
--- a/packages/common/src/briarthread_common/feeds/__init__.py
+++ b/packages/common/src/briarthread_common/feeds/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned maps that spread from the platform to all processes."""
+"""Versioned maps that are replicated from the platform to all processes."""
--- a/packages/common/src/briarthread_common/feeds/feed.py
+++ b/packages/common/src/briarthread_common/feeds/feed.py
@@ -1,4 +1,4 @@
-"""A versioned map that only moves forward."""
+"""Versioned map whose version only increases."""
 
 from collections import deque
 
@@ -7,16 +7,16 @@
 from briarthread_common.core.exceptions import FeedGapError
 from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE, FeedPatch
 
-HISTORY = 256
-"""How many single patches are kept for processes that lag behind."""
+MAX_HISTORY_PATCHES = 256
+"""Maximum number of patches kept for processes that lag behind."""
 
 
 class Feed:
     """
-    Hold the items of one feed at the highest version seen.
+    Hold the items of one feed at the newest version received.
 
-    A lower version is never installed over a higher one, wherever it comes
-    from; that alone keeps an accepted text from reverting.
+    A lower version is never installed over a higher one, whatever its origin. This
+    alone keeps an accepted text from being reverted.
 
     >>> feed = Feed("text")
     >>> feed.install(FeedPatch("text", 0, 4, {"a": "1"}))
@@ -31,34 +31,35 @@
         self.name = name
         self.number = 0
         self.items: dict[str, str] = {}
-        self.history: deque[FeedPatch] = deque(maxlen=HISTORY)
+        self.history: deque[FeedPatch] = deque(maxlen=MAX_HISTORY_PATCHES)
         self.changed = anyio.Event()
 
     def install(self, patch: FeedPatch) -> bool:
         """
-        Install a patch if it leads to a higher version; tell whether it did.
+        Install a patch if it leads to a newer version; tell whether it did.
 
-        Raise FeedGapError when the patch starts above the present version.
+        Raise FeedGapError if the patch starts above the present version.
         """
         if patch.number <= self.number:
             return False
         if patch.base > self.number:
             raise FeedGapError(
-                f"{self.name}: patch from {patch.base}, have {self.number}"
+                f"{self.name}: patch starts at version {patch.base}, "
+                f"present version is {self.number}"
             )
         if patch.base == SNAPSHOT_BASE:
             self._replace(patch)
         else:
             self._apply(patch)
-        self._wake()
+        self._notify()
         return True
 
     def since(self, number: int) -> FeedPatch | None:
         """
         Return one patch from a version to the present one.
 
-        Return ``None`` for a reader that is up to date, and a whole patch
-        for one that the kept history does not reach.
+        Return ``None`` if the version is the present one, and a snapshot if it is
+        older than the kept history.
         """
         if number >= self.number:
             return None
@@ -71,7 +72,7 @@
         return FeedPatch(self.name, number, self.number, changes)
 
     async def wait_for_newer(self, number: int) -> None:
-        """Return once the feed is at a higher version than the given one."""
+        """Return once the feed is at a newer version than the given one."""
         while self.number <= number:
             await self.changed.wait()
 
@@ -95,6 +96,6 @@
         self.items = items
         self.number = patch.number
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         event, self.changed = self.changed, anyio.Event()
         event.set()
--- a/packages/common/src/briarthread_common/feeds/feed_patch.py
+++ b/packages/common/src/briarthread_common/feeds/feed_patch.py
@@ -1,9 +1,9 @@
-"""A change of a feed from one version to a later one."""
+"""Change of a feed from one version to a newer one."""
 
 from dataclasses import dataclass
 
 SNAPSHOT_BASE = 0
-"""The base of a patch that replaces everything."""
+"""Base of a snapshot patch, which replaces all items."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -11,8 +11,8 @@
     """
     Carry the items of a feed that changed between two versions.
 
-    ``changes`` maps an item's name to its new text, or to ``None`` where the
-    item was removed. A patch whose base is ``WHOLE`` holds all items.
+    ``changes`` maps an item's name to its new text, or to ``None`` if the item was
+    removed. A patch whose base is ``SNAPSHOT_BASE`` holds all items.
     """
 
     feed: str
--- a/packages/common/src/briarthread_common/feeds/feed_set.py
+++ b/packages/common/src/briarthread_common/feeds/feed_set.py
@@ -7,7 +7,7 @@
 
 
 class FeedName(StrEnum):
-    """Name every feed that processes exchange."""
+    """Names of the feeds that processes exchange."""
 
     TEXT = "text"
     INSTANCES = "instances"
@@ -17,14 +17,14 @@
 
 
 AGENT_FEEDS = (FeedName.TEXT, FeedName.INSTANCES, FeedName.SHARES)
-"""What a process keeps where agents stand before the targets."""
+"""Feeds of a process in a deployment with an agent in front of each target."""
 DIRECT_FEEDS = (FeedName.ROUTES, FeedName.TARGETS, FeedName.INSTANCES)
-"""What an entry keeps that sends to targets directly."""
+"""Feeds of a process in a deployment whose entries call targets directly."""
 
 
 class FeedSet:
     """
-    Hold one feed of each of some names.
+    Hold one feed for each of the given names.
 
     >>> FeedSet(DIRECT_FEEDS).versions()
     {'routes': 0, 'targets': 0, 'instances': 0}
@@ -45,12 +45,12 @@
 
     @property
     def shares(self) -> Feed:
-        """Return the feed of the shares of keys."""
+        """Return the feed of the shares of idempotency keys."""
         return self.feeds[FeedName.SHARES]
 
     @property
     def routes(self) -> Feed:
-        """Return the feed of the routes of direct targets."""
+        """Return the feed of the routes to direct targets."""
         return self.feeds[FeedName.ROUTES]
 
     @property
@@ -63,7 +63,7 @@
         return tuple(self.feeds.values())
 
     def by_name(self, name: str) -> Feed | None:
-        """Return the feed of a name, or ``None`` for one not known here."""
+        """Return the feed of a name, or ``None`` if this process does not have it."""
         return self.feeds.get(name)
 
     def versions(self) -> dict[str, int]:
--- a/packages/common/src/briarthread_common/shares/__init__.py
+++ b/packages/common/src/briarthread_common/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Which agent holds which share of the idempotency keys."""
+"""Assignment of the shares of the idempotency keys to agents."""
--- a/packages/common/src/briarthread_common/shares/share_row.py
+++ b/packages/common/src/briarthread_common/shares/share_row.py
@@ -1,4 +1,4 @@
-"""Who holds a share of a service's idempotency keys."""
+"""Assignment of one share of a service's idempotency keys."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
     """
     Name the agent that holds one share; the row never expires.
 
-    ``quarantine`` is the Unix time in seconds before which keys given by
-    callers are not served, because the memory of the last holder was lost.
+    Until ``quarantine``, a Unix time in seconds, keys given by callers are not
+    served, because the records of the previous holder were lost.
     """
 
     service: str
@@ -25,7 +25,7 @@
 
 
 def share_name(service: str, data_centre: str, share: int) -> str:
-    """Return the name of a share's item in the feed."""
+    """Return the name of a share's item in the shares feed."""
     return f"{service}/{data_centre}/{share}"
 
 
--- a/packages/common/src/briarthread_common/shares/share_view.py
+++ b/packages/common/src/briarthread_common/shares/share_view.py
@@ -1,4 +1,4 @@
-"""The share rows that a process knows of."""
+"""Typed view of the shares feed."""
 
 import msgspec
 
@@ -7,14 +7,14 @@
 
 
 class ShareView:
-    """Give the rows of the shares feed as typed rows, each decoded once."""
+    """Return the rows of the shares feed as typed rows, each decoded once."""
 
     def __init__(self, feed: Feed) -> None:
         self.feed = feed
         self.decoded: dict[str, tuple[str, ShareRow]] = {}
 
     def get(self, service: str, data_centre: str, share: int) -> ShareRow | None:
-        """Return the row of a share, or ``None`` if nobody ever held it."""
+        """Return the row of a share, or ``None`` if no agent ever held it."""
         name = share_name(service, data_centre, share)
         raw = self.feed.items.get(name)
         if raw is None:
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -156,7 +156,7 @@
             request.path,
             tuple(headers),
             request.body,
-            fresh=not request.route.repeatable,
+            fresh=not request.route.retryable,
         )
 
 
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -178,7 +178,7 @@
     def _may_leave(self, request: DirectRequest, sent: int) -> bool:
         """Tell whether a stream may go on at another rank if its own turns slow."""
         again = sent + 1 < request.route.max_attempts
-        return again and request.service.engine is not None and request.route.repeatable
+        return again and request.service.engine is not None and request.route.retryable
 
     async def _send_or_leave(
         self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
@@ -219,7 +219,7 @@
             return False
         if isinstance(outcome, ProvedNotRun) and not outcome.written:
             return True
-        if not isinstance(outcome, ProvedNotRun) and not request.route.repeatable:
+        if not isinstance(outcome, ProvedNotRun) and not request.route.retryable:
             return False
         return self._spend_repeat(request, repeat_reason(outcome))
 
--- a/tests/common/test_feed.py
+++ b/tests/common/test_feed.py
@@ -1,4 +1,4 @@
-"""A feed moves only forward, whatever order its patches come in."""
+"""A feed's version only increases, whatever the order of its patches."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,47 +8,47 @@
 from briarthread_common.feeds.feed import Feed
 from briarthread_common.feeds.feed_patch import FeedPatch
 
-PATCHES = 12
+PATCH_COUNT = 12
 
 
-def patches() -> list[FeedPatch]:
+def build_patches() -> list[FeedPatch]:
     return [
         FeedPatch("text", n, n + 1, {f"item-{n % 4}": str(n), f"gone-{n}": None})
-        for n in range(PATCHES)
+        for n in range(PATCH_COUNT)
     ]
 
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(
-    order=st.lists(st.integers(0, PATCHES - 1), max_size=40),
-    wholes=st.lists(st.integers(1, PATCHES), max_size=4),
-    asked=st.integers(0, PATCHES),
+    order=st.lists(st.integers(0, PATCH_COUNT - 1), max_size=40),
+    snapshots=st.lists(st.integers(1, PATCH_COUNT), max_size=4),
+    reader_version=st.integers(0, PATCH_COUNT),
 )
-def test_any_order_of_patches_leads_forward_only(
-    order: list[int], wholes: list[int], asked: int
+def test_version_never_decreases_in_any_order_of_patches(
+    order: list[int], snapshots: list[int], reader_version: int
 ) -> None:
     feed, source = Feed("text"), Feed("text")
-    for patch in patches():
+    for patch in build_patches():
         source.install(patch)
-    seen = [0]
-    arriving = [patches()[place] for place in order]
-    for place, number in enumerate(wholes):
-        whole = FeedPatch("text", 0, number, {f"item-{number}": "whole"})
-        arriving.insert(place * len(order) // len(wholes), whole)
-    for patch in arriving:
+    versions = [0]
+    received = [build_patches()[index] for index in order]
+    for index, number in enumerate(snapshots):
+        snapshot = FeedPatch("text", 0, number, {f"item-{number}": "whole"})
+        received.insert(index * len(order) // len(snapshots), snapshot)
+    for patch in received:
         try:
             feed.install(patch)
         except FeedGapError:
             assert patch.base > feed.number
-        seen.append(feed.number)
-    assert seen == sorted(seen)
-    patch = source.since(asked)
-    if patch is not None and patch.base <= feed.number and not wholes:
+        versions.append(feed.number)
+    assert versions == sorted(versions)
+    patch = source.since(reader_version)
+    if patch is not None and patch.base <= feed.number and not snapshots:
         feed.install(patch)
         assert feed.items == source.items
 
 
-def test_reader_far_behind_gets_the_whole() -> None:
+def test_reader_behind_the_kept_history_gets_a_snapshot() -> None:
     feed = Feed("text")
     for n in range(1, 400):
         feed.install(FeedPatch("text", n - 1, n, {"item": str(n)}))
--- a/tests/common/test_packed.py
+++ b/tests/common/test_packed.py
@@ -1,4 +1,4 @@
-"""Large bodies between our own processes are compressed."""
+"""Compression of large bodies between processes of briarthread."""
 
 import zlib
 
@@ -14,12 +14,12 @@
 from briarthread_standins.fake_network import FakeNetwork
 from briarthread_standins.virtual_time import run_virtual
 
-LIMIT = 100_000
+MAX_BODY_BYTES = 100_000
 ADDRESS = "10.1.0.1:9"
 
 
-class Doubling:
-    """Answer a list with twice its items, and keep what the bodies looked like."""
+class DoublingServer:
+    """Reply to a list with the list repeated twice, and record the body encodings."""
 
     def __init__(self, network: FakeNetwork) -> None:
         self.encodings: list[str | None] = []
@@ -28,14 +28,16 @@
 
     async def handle(self, call: Call) -> None:
         self.encodings.append(call.headers.get("content-encoding"))
-        await call.reply_json(2 * await call.read_json(list[int], LIMIT))
+        await call.reply_json(2 * await call.read_json(list[int], MAX_BODY_BYTES))
 
 
 def in_network(scenario: object) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             network = FakeNetwork(tasks)
-            await scenario(Doubling(network), network.channel("10.1.0.2:9", "palermo"))
+            await scenario(
+                DoublingServer(network), network.channel("10.1.0.2:9", "palermo")
+            )
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
@@ -45,10 +47,10 @@
     ("items", "packed", "encoding"),
     [(3, True, None), (5000, True, "deflate"), (5000, False, None)],
 )
-def test_message_and_answer_come_whole_however_they_travel(
+def test_message_and_reply_are_unchanged_by_compression(
     items: int, packed: bool, encoding: str | None
 ) -> None:
-    async def scenario(server: Doubling, channel: object) -> None:
+    async def scenario(server: DoublingServer, channel: object) -> None:
         message = list(range(items))
         answer = await call_json(
             channel, ADDRESS, "POST", "/double", message, list[int], 1.0, packed
@@ -61,24 +63,28 @@
 
 @pytest.mark.parametrize(
     "body",
-    [b"no zlib", zlib.compress(b"[1]")[:-3], zlib.compress(b"[" + b"1," * LIMIT)],
+    [
+        b"no zlib",
+        zlib.compress(b"[1]")[:-3],
+        zlib.compress(b"[" + b"1," * MAX_BODY_BYTES),
+    ],
 )
-def test_body_that_is_broken_or_grows_past_the_limit_is_refused(body: bytes) -> None:
-    async def scenario(_: Doubling, channel: object) -> None:
+def test_corrupt_or_oversized_compressed_body_is_rejected(body: bytes) -> None:
+    async def scenario(_: DoublingServer, channel: object) -> None:
         request = ChannelRequest("POST", ADDRESS, "/double", (PACKED_HEADER,), body)
         async with channel.stream(request) as response:
-            await read_bounded(response.body, LIMIT)
+            await read_bounded(response.body, MAX_BODY_BYTES)
         assert response.status in (400, 413)
 
     in_network(scenario)
 
 
-def test_answer_that_cannot_be_unpacked_is_a_broken_call() -> None:
-    async def scenario(_: Doubling, channel: object) -> None:
-        async def broken(call: Call) -> None:
+def test_corrupt_compressed_reply_is_a_broken_call() -> None:
+    async def scenario(_: DoublingServer, channel: object) -> None:
+        async def reply_corrupt(call: Call) -> None:
             await call.reply(200, b"no zlib", [PACKED_HEADER])
 
-        app = App([Route("POST", "/broken", broken)])
+        app = App([Route("POST", "/broken", reply_corrupt)])
         channel.network.listen("10.1.0.3:9", "palermo", app)
         with pytest.raises(BrokenCallError, match="broken body"):
             await call_json(
@@ -88,7 +94,7 @@
     in_network(scenario)
 
 
-def test_small_body_stays_as_it_is() -> None:
+def test_small_body_is_not_compressed() -> None:
     assert pack(b"x" * (LEAST_BYTES - 1)) is None
     with pytest.raises(RequestError, match="over 10 bytes"):
         unpack(zlib.compress(b"x" * 11), limit=10)
--- a/tests/common/test_passed_over.py
+++ b/tests/common/test_passed_over.py
@@ -1,4 +1,4 @@
-"""Who did not answer is passed over for a while."""
+"""Peers that did not answer are skipped for a period."""
 
 import anyio
 
@@ -6,7 +6,7 @@
 from briarthread_standins.virtual_time import run_virtual
 
 
-def test_one_that_did_not_answer_is_passed_over_until_its_time_is_up() -> None:
+def test_peer_without_answer_is_skipped_until_its_period_ends() -> None:
     async def run() -> None:
         passed_over = PassedOver(2.0)
         passed_over.note("b", "c")
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -19,7 +19,7 @@
     route = found.match("salon.example", "/chat/anything")
     assert found.version == 7
     assert (route.kind, route.timeout, route.gap_slo) == (CallKind.STREAM, 4.0, 0.12)
-    assert route.repeatable
+    assert route.retryable
     assert found.services["model"].engine.steps_per_pass == 5
     assert found.accounts["key-2"].name == "salon"
     assert found.limits.idle_timeout == 15.0
@@ -36,7 +36,7 @@
 
 def test_stream_that_may_not_be_resumed_may_not_be_repeated() -> None:
     row = {**build_config()["routes"][0], "resumable": False}
-    assert not routes(routes=[row]).match("salon.example", "/chat/").repeatable
+    assert not routes(routes=[row]).match("salon.example", "/chat/").retryable
 
 
 def test_config_without_tenants_needs_no_key() -> None:
--- a/tests/spread/test_tree.py
+++ b/tests/spread/test_tree.py
@@ -1,4 +1,4 @@
-"""Who tells whom of a new version."""
+"""Push of new versions along the tree of a data centre."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def build_tree(entries: int, agents: int) -> list[Instance]:
-    """Return a tree with agents among the entries."""
+    """Return a tree with agents between the entries."""
     rows = [build_row(f"entry-{n}", InstanceRole.ENTRY) for n in range(entries)]
     for number in range(agents):
         rows.insert(number * 2, build_row(f"agent-{number}", InstanceRole.TARGET))
@@ -15,29 +15,29 @@
 
 
 def build_row(name: str, role: InstanceRole) -> Instance:
-    """Return a listed instance."""
+    """Return an instance as listed."""
     return Instance(name, "palermo", f"{name}:9", role)
 
 
 @pytest.mark.parametrize(
     ("entries", "agents"), [(1, 0), (3, 4), (15, 21), (61, 163), (0, 9)]
 )
-def test_everyone_but_the_root_is_told_by_exactly_one(
+def test_every_instance_but_the_root_receives_exactly_one_push(
     entries: int, agents: int
 ) -> None:
     tree = build_tree(entries, agents)
-    told = [row.name for teller in tree for row in push_targets(teller.name, tree)]
+    receivers = [row.name for sender in tree for row in push_targets(sender.name, tree)]
     root = next(row.name for row in tree if root_of(row.name, tree) is None)
-    assert sorted(told) == sorted(row.name for row in tree if row.name != root)
+    assert sorted(receivers) == sorted(row.name for row in tree if row.name != root)
 
 
-def test_agents_send_a_text_to_nobody_where_there_are_entries() -> None:
+def test_agents_do_not_push_if_entries_are_listed() -> None:
     tree = build_tree(3, 4)
     agents = [row for row in tree if row.role is InstanceRole.TARGET]
     assert [push_targets(row.name, tree) for row in agents] == [[]] * 4
 
 
-def test_entry_that_is_not_listed_yet_tells_the_first() -> None:
+def test_entry_not_listed_yet_pushes_to_the_first_entries() -> None:
     tree = build_tree(5, 2)
     names = [row.name for row in push_targets("entry-new", tree)]
     assert names == ["entry-0", "entry-1", "entry-2"]
