--- a/packages/common/src/briarthread_common/direct/route_view.py
+++ b/packages/common/src/briarthread_common/direct/route_view.py
@@ -48,7 +48,7 @@
             self._log_missing()
             return
         if found.version < self._version():
-            reason = f"version {found.version} is older"
+            reason = f"{found.version} is older"
             logger.warning(
                 "routes: version {} stays in force: {}", self._version(), reason
             )
--- a/packages/common/src/briarthread_common/shares/share_view.py
+++ b/packages/common/src/briarthread_common/shares/share_view.py
@@ -19,8 +19,8 @@
         raw = self.feed.items.get(name)
         if raw is None:
             return None
-        known = self.decoded.get(name)
-        if known is None or known[0] != raw:
-            known = (raw, msgspec.json.decode(raw, type=ShareRow))
-            self.decoded[name] = known
-        return known[1]
+        cached = self.decoded.get(name)
+        if cached is None or cached[0] != raw:
+            cached = (raw, msgspec.json.decode(raw, type=ShareRow))
+            self.decoded[name] = cached
+        return cached[1]
--- a/packages/common/src/briarthread_common/spread/directory.py
+++ b/packages/common/src/briarthread_common/spread/directory.py
@@ -73,9 +73,9 @@
 
         The decoded row is ``None`` if it is invalid, e.g. written by other software.
         """
-        known = self.decoded.get(name)
-        if known is not None and known[0] == raw:
-            return known
+        cached = self.decoded.get(name)
+        if cached is not None and cached[0] == raw:
+            return cached
         try:
             return raw, msgspec.json.decode(raw, type=Instance)
         except (msgspec.MsgspecError, UnicodeEncodeError) as error:
