--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -12,29 +12,29 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.http.app import AnswerAborted
 from briarthread_common.http.call import Call
-from briarthread_entry.direct.answer_relay import AnswerRelay
-from briarthread_entry.direct.attempt_notes import SERVER_ERROR, AttemptNotes
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    RankTooSlow,
+    StreamRelayed,
+    TargetResponse,
 )
+from briarthread_entry.direct.attempt_recorder import SERVER_ERROR, AttemptRecorder
 from briarthread_entry.direct.attempt_sender import AttemptSender
-from briarthread_entry.direct.crash_book import CrashBook
-from briarthread_entry.direct.crash_rule import LAST_REPEATED, MOST_CRASHES
+from briarthread_entry.direct.crash_rule import MAX_CRASHES, MAX_RETRIED_CRASHES
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.final_error import final_error, repeat_reason
-from briarthread_entry.direct.group_gate import GroupGate
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.final_error import final_error, retry_reason
+from briarthread_entry.direct.group_admission import GroupAdmission
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
+from briarthread_entry.direct.response_relay import ResponseRelay
 from briarthread_entry.direct.shared_retry_budget import SharedRetryBudget
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_chooser import TargetChooser
 from briarthread_entry.direct.target_state import DirectTargetState
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
-UNWRITTEN_TRIES = 3
+MAX_FAILED_ATTEMPTS = 3
 """Targets tried in a row that did not even take the connection."""
 
 
@@ -51,10 +51,10 @@
         self,
         chooser: TargetChooser,
         sender: AttemptSender,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         budget: SharedRetryBudget,
-        gate: GroupGate,
-        rooms: GroupRooms,
+        admission: GroupAdmission,
+        capacity: GroupCapacityTracker,
         slow_ranks: SlowRanks,
         metrics: Metrics,
         events: EventLog,
@@ -64,21 +64,21 @@
         self.sender = sender
         self.crashes = crashes
         self.budget = budget
-        self.gate = gate
-        self.rooms = rooms
+        self.admission = admission
+        self.capacity = capacity
         self.slow_ranks = slow_ranks
         self.metrics = metrics
-        self.notes = AttemptNotes(rooms, crashes, sender.backoffs, events)
+        self.notes = AttemptRecorder(capacity, crashes, sender.backoffs, events)
         self.rng = rng
 
     async def run(self, request: DirectRequest, call: Call) -> None:
         """Answer the caller, or raise the RequestError that it gets."""
-        if self.crashes.shut_out(request.digest, anyio.current_time()):
+        if self.crashes.is_blocked(request.digest, anyio.current_time()):
             raise RequestError(
                 ErrorKind.CRASHES_TARGETS,
-                f"request {request.digest} crashed {MOST_CRASHES} targets",
+                f"request {request.digest} crashed {MAX_CRASHES} targets",
             )
-        relay = AnswerRelay(call, request.resumes_after)
+        relay = ResponseRelay(call, request.last_event_id)
         failures: list[DirectOutcome] = []
         try:
             with anyio.fail_after(request.deadline - anyio.current_time()):
@@ -92,7 +92,7 @@
         self,
         request: DirectRequest,
         call: Call,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
         failures: list[DirectOutcome],
     ) -> None:
         tried: set[str] = set()
@@ -100,7 +100,7 @@
         self.budget.note_request(request.service.name, anyio.current_time())
         groups = None
         if request.service.engine is not None:
-            groups = await self.gate.enter(request)
+            groups = await self.admission.admit(request)
         while True:
             state = await self._choose(request, tried, groups, failures)
             if state is None:
@@ -109,12 +109,12 @@
             leaves = self._may_leave(request, sent)
             outcome = await self._attempt(request, state, relay, leaves)
             match outcome:
-                case StreamPassedOn():
+                case StreamRelayed():
                     return
-                case TargetAnswer(status=status) if status < SERVER_ERROR:
+                case TargetResponse(status=status) if status < SERVER_ERROR:
                     await _reply(call, outcome)
                     return
-                case ProvedNotRun(written=False):
+                case NotRun(written=False):
                     pass
                 case _:
                     sent += 1
@@ -147,20 +147,20 @@
         """
         if request.service.engine is None:
             return None
-        found = self.rooms.open_groups(request, anyio.current_time())
-        return found - {self.rooms.roster.of(failed.target)} or None
+        found = self.capacity.open_groups(request, anyio.current_time())
+        return found - {self.capacity.membership.group_of(failed.target)} or None
 
     async def _attempt(
         self,
         request: DirectRequest,
         state: DirectTargetState,
-        relay: AnswerRelay,
+        relay: ResponseRelay,
         leaves: bool,
     ) -> DirectOutcome:
         started = anyio.current_time()
-        group = self.rooms.roster.of(state.target)
-        relay.begin_run(partial(self.rooms.note_event, request.service, group))
-        self.crashes.begin(request.digest, state.target.name)
+        group = self.capacity.membership.group_of(state.target)
+        relay.begin_attempt(partial(self.capacity.note_event, request.service, group))
+        self.crashes.note_start(request.digest, state.target.name)
         state.running += 1
         state.prompt_tokens += request.prompt_tokens
         try:
@@ -171,8 +171,10 @@
         finally:
             state.running -= 1
             state.prompt_tokens -= request.prompt_tokens
-            self.crashes.end(request.digest, state.target.name)
-        self.notes.note(request, state, outcome, started, relay.run_event_at is None)
+            self.crashes.note_end(request.digest, state.target.name)
+        self.notes.record(
+            request, state, outcome, started, relay.last_attempt_event_at is None
+        )
         return outcome
 
     def _may_leave(self, request: DirectRequest, sent: int) -> bool:
@@ -181,14 +183,14 @@
         return again and request.service.engine is not None and request.route.retryable
 
     async def _send_or_leave(
-        self, request: DirectRequest, state: DirectTargetState, relay: AnswerRelay
+        self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
         """Send an attempt, and break it off when its rank turns slow."""
-        left: list[LeftSlowRank] = []
+        left: list[RankTooSlow] = []
 
         def leave(factor: float) -> None:
-            outcome = LeftSlowRank(factor)
-            if self._spend_repeat(request, repeat_reason(outcome)):
+            outcome = RankTooSlow(factor)
+            if self._spend_repeat(request, retry_reason(outcome)):
                 left.append(outcome)
                 scope.cancel()
 
@@ -209,19 +211,19 @@
     ) -> bool:
         """Tell whether to try again; ``elsewhere`` says that another group can."""
         outcome = failures[-1]
-        if isinstance(outcome, LeftSlowRank):
+        if isinstance(outcome, RankTooSlow):
             return True
-        if sent >= request.route.max_attempts or len(failures) >= UNWRITTEN_TRIES:
+        if sent >= request.route.max_attempts or len(failures) >= MAX_FAILED_ATTEMPTS:
             return False
-        if self.crashes.count(request.digest) > LAST_REPEATED:
+        if self.crashes.crash_count(request.digest) > MAX_RETRIED_CRASHES:
             return False
-        if isinstance(outcome, ProvedNotRun) and outcome.faulty and not elsewhere:
+        if isinstance(outcome, NotRun) and outcome.faulty_rank and not elsewhere:
             return False
-        if isinstance(outcome, ProvedNotRun) and not outcome.written:
+        if isinstance(outcome, NotRun) and not outcome.written:
             return True
-        if not isinstance(outcome, ProvedNotRun) and not request.route.retryable:
+        if not isinstance(outcome, NotRun) and not request.route.retryable:
             return False
-        return self._spend_repeat(request, repeat_reason(outcome))
+        return self._spend_repeat(request, retry_reason(outcome))
 
     def _spend_repeat(self, request: DirectRequest, reason: str) -> bool:
         """Take a repeat out of the budget and count it; tell whether there was one."""
@@ -235,7 +237,7 @@
         self, request: DirectRequest, call: Call, failures: list[DirectOutcome]
     ) -> None:
         last = failures[-1]
-        if isinstance(last, TargetAnswer) and not call.started:
+        if isinstance(last, TargetResponse) and not call.started:
             await _reply(call, last)
             return
         raise self._final(request, failures)
@@ -246,11 +248,11 @@
         failures: list[DirectOutcome],
         closed: TargetsClosed | None = None,
     ) -> RequestError:
-        left = request.caller_left(anyio.current_time())
+        left = request.caller_time_left(anyio.current_time())
         return final_error(failures, left, self.rng.random(), closed)
 
 
-async def _reply(call: Call, answer: TargetAnswer) -> None:
+async def _reply(call: Call, answer: TargetResponse) -> None:
     if call.started:
         raise AnswerAborted("a stream cannot go on with a whole answer")
     await call.reply(answer.status, answer.body, answer.headers)
