--- a/packages/common/src/briarthread_common/shares/share_view.py
+++ b/packages/common/src/briarthread_common/shares/share_view.py
@@ -1,4 +1,4 @@
-"""The share rows that a process knows of."""
+"""Typed view of the shares feed."""
 
 import msgspec
 
@@ -7,20 +7,20 @@
 
 
 class ShareView:
-    """Give the rows of the shares feed as typed rows, each decoded once."""
+    """Return the rows of the shares feed as typed rows, each decoded once."""
 
     def __init__(self, feed: Feed) -> None:
         self.feed = feed
         self.decoded: dict[str, tuple[str, ShareRow]] = {}
 
     def get(self, service: str, data_centre: str, share: int) -> ShareRow | None:
-        """Return the row of a share, or ``None`` if nobody ever held it."""
+        """Return the row of a share, or ``None`` if no agent ever held it."""
         name = share_name(service, data_centre, share)
         raw = self.feed.items.get(name)
         if raw is None:
             return None
-        known = self.decoded.get(name)
-        if known is None or known[0] != raw:
-            known = (raw, msgspec.json.decode(raw, type=ShareRow))
-            self.decoded[name] = known
-        return known[1]
+        cached = self.decoded.get(name)
+        if cached is None or cached[0] != raw:
+            cached = (raw, msgspec.json.decode(raw, type=ShareRow))
+            self.decoded[name] = cached
+        return cached[1]
