--- a/packages/entry/src/briarthread_entry/direct/attempt_outcome.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How one attempt at a direct target ended."""
+"""Outcomes of an attempt at a direct target."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetResponse:
-    """The target's whole answer; ``headers`` go on to the caller."""
+    """The target's complete response; ``headers`` are forwarded to the caller."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -17,10 +17,10 @@
 @dataclass(frozen=True, slots=True)
 class StreamRelayed:
     """
-    The caller has the whole stream.
+    The complete stream was relayed to the caller.
 
-    ``first_event_at`` is when its first event went out on the runtime's clock,
-    ``None`` for a stream without events; ``longest_pause`` is in seconds.
+    ``first_event_at`` is the time at which the first event was sent, on the event
+    loop's clock, ``None`` for a stream without events. ``longest_pause`` is in seconds.
     """
 
     first_event_at: float | None = None
@@ -32,9 +32,9 @@
     """
     The target did not run the attempt and never will.
 
-    ``written`` says whether the attempt was sent at all; ``replaced`` that
-    another target answers at the address now; ``faulty_rank`` names the rank of
-    its group that the target says is at fault.
+    ``written`` is false if the request was not sent. ``replaced`` is true if another
+    target answers at the address. ``faulty_rank`` is the rank of the group that the
+    target reported as the cause, empty if it reported none.
     """
 
     error: RequestError
@@ -46,9 +46,9 @@
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
     """
-    The attempt may have run, and its answer is lost or spoilt.
+    The attempt may have run, but its response was lost or is invalid.
 
-    ``connection_lost`` says that the connection ended before all of it was there.
+    ``connection_lost`` is true if the connection ended before the whole response came.
     """
 
     error: RequestError
@@ -58,9 +58,9 @@
 @dataclass(frozen=True, slots=True)
 class RankTooSlow:
     """
-    The stream was broken off to go on at another rank.
+    The stream was cancelled so that it continues on another rank.
 
-    Its own takes ``factor`` times longer than usual.
+    ``factor`` is how many times slower than usual the rank is.
     """
 
     factor: float
--- a/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""What is remembered and logged of an attempt that has ended."""
+"""Recording of attempts that have ended."""
 
 import anyio
 
@@ -19,17 +19,18 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 GROUP_STALL_SECONDS = 1.2
-"""Time, s, after which a rank that breaks an unanswered run off is not the one that
-crashed: the others of its group wait that long for one that is lost."""
+"""Age in seconds above which an unanswered run that loses its connection to a rank does
+not mean that this rank crashed. The other ranks of a group wait that long for a lost
+one before they drop their connections."""
 SERVER_ERROR = 500
-"""Statuses from here on are the target's own failures (RFC 9110, 15.6)."""
+"""Lowest status of a failure of the target itself (RFC 9110, 15.6)."""
 
 
 class AttemptRecorder:
     """
-    Record how an attempt ended: at its target, its group and in the log.
+    Record the outcome of an attempt for its target and group and in the event log.
 
-    What it says of a crash of its target goes to ``crashes``.
+    Evidence for or against a crash of the target is passed to ``crashes``.
     """
 
     def __init__(
@@ -53,16 +54,16 @@
         unanswered: bool,
     ) -> None:
         """
-        Record an attempt that began at some time of the runtime.
+        Record an attempt that started at ``began`` on the event loop's clock.
 
-        ``unanswered`` says that no event of it has come.
+        ``unanswered`` is true if no event has been received.
         """
         seconds = anyio.current_time() - began
         self._note_crash(request, state, outcome, began, unanswered)
         match outcome:
             case StreamRelayed():
-                answer = _describe_stream(request, outcome)
-                self._note_served(request, state, answer, seconds)
+                result = _describe_stream(request, outcome)
+                self._note_served(request, state, result, seconds)
             case TargetResponse(status=status) if status < SERVER_ERROR:
                 self._note_served(request, state, str(status), seconds)
             case TargetResponse(status=status) if self._backing_off(state, status):
@@ -74,7 +75,7 @@
             case NotRun(written=False, error=error) | OutcomeUnknown(error=error):
                 self._note_failed(request, state, error.detail)
             case RankTooSlow(factor=factor):
-                reason = f"{factor:.1f} times slower, going on elsewhere"
+                reason = f"{factor:.1f} times slower, continuing on another rank"
                 self.events.add("attempt-moved", state.target.name, reason, request.id)
             case NotRun():
                 self._note_refused(request, state, outcome)
@@ -87,7 +88,7 @@
         began: float,
         unanswered: bool,
     ) -> None:
-        """Take note of what an attempt says of a crash of its target."""
+        """Pass on what an attempt shows about a crash of its target."""
         now = anyio.current_time()
         name = state.target.name
         match outcome:
@@ -108,12 +109,12 @@
         self,
         request: DirectRequest,
         state: DirectTargetState,
-        answer: str,
+        result: str,
         seconds: float,
     ) -> None:
         state.note_success(seconds)
         waited = anyio.current_time() - seconds - request.arrived
-        reason = f"{answer} in {seconds:.3f} s, sent after {waited:.3f} s"
+        reason = f"{result} in {seconds:.3f} s, sent after {waited:.3f} s"
         self.events.add("request-served", state.target.name, reason, request.id)
 
     def _backing_off(self, state: DirectTargetState, status: int) -> bool:
@@ -146,9 +147,9 @@
             self.rooms.note_refused(group, refusal.faulty_rank)
 
 
-def _describe_stream(request: DirectRequest, passed: StreamRelayed) -> str:
-    """Return what decides whether a stream was in time."""
-    if passed.first_event_at is None:
+def _describe_stream(request: DirectRequest, stream: StreamRelayed) -> str:
+    """Return the figures that the latency objectives of a stream apply to."""
+    if stream.first_event_at is None:
         return "empty stream"
-    first = passed.first_event_at - request.arrived
-    return f"stream, first {first:.3f} s, pause {passed.longest_pause:.3f} s,"
+    first = stream.first_event_at - request.arrived
+    return f"stream, first {first:.3f} s, pause {stream.longest_pause:.3f} s,"
--- a/packages/entry/src/briarthread_entry/direct/choose_target.py
+++ b/packages/entry/src/briarthread_entry/direct/choose_target.py
@@ -1,10 +1,10 @@
 """
-The choice of a direct target.
+Load-balancing policies for direct targets.
 
-It answers an even load: requests that come singly from many entries, none of
-which knows all that the others have sent. A model engine's rank is chosen by
-what runs there over all entries, since the group waits for its slowest rank; a
-plain target by the time that a call is expected to take there.
+Many entries choose at the same time, and none knows all requests that the others have
+just sent. A rank of a model engine is chosen by the number of requests that all entries
+run there, since the whole group waits for its slowest rank. A plain target is chosen by
+the expected duration of a call.
 """
 
 import random
@@ -13,25 +13,26 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 RunningElsewhere = Callable[[str], int]
-"""Gives, for a target's name, the attempts that other entries have there."""
+"""Return the number of attempts that other entries run at the named target."""
 REMOTE_PENALTY = 1.3
-"""Factor on the expected time in another data centre. Traffic between data
-centres is paid for, so it takes a clear gain to go there."""
+"""Factor on the expected duration of a call to another data centre. Traffic between
+data centres is billed, so a remote target must be clearly faster to be chosen."""
 COST_TOLERANCE_SECONDS = 1e-9
+"""Difference up to which two costs in seconds count as equal."""
 SLOW_FACTOR = 1.5
-"""How many times longer than the fastest rank one may take to be used: under
-that, leaving it out costs more slots than it saves in the length of passes."""
+"""Slowdown relative to the fastest rank above which a rank is excluded. Below it,
+the slots lost by excluding the rank outweigh the shorter passes."""
 
 
 def without_slow(
     states: Sequence[DirectTargetState], slowdown: Callable[[str], float]
 ) -> list[DirectTargetState]:
     """
-    Return the ranks that are not slow, or where all are, all of them.
+    Return the ranks that are not slow in comparison with the fastest one.
 
-    A pass lasts as long as the slowest rank's part, so that a request on a slow
-    rank holds up those on all others. ``slowdown`` gives, for an address, how
-    many times longer than usual a rank takes.
+    A pass takes as long as its slowest rank, so a request on a slow rank delays the
+    requests on all other ranks. ``slowdown`` returns, for an address, by what factor a
+    rank is slower than usual.
     """
     least = min((slowdown(state.target.address) for state in states), default=1.0)
     return [s for s in states if slowdown(s.target.address) <= least * SLOW_FACTOR]
@@ -40,28 +41,29 @@
 def choose_rank(
     states: Sequence[DirectTargetState],
     elsewhere: RunningElsewhere,
-    home: Mapping[str, int],
+    assigned: Mapping[str, int],
     now: float,
     rng: random.Random,
 ) -> DirectTargetState | None:
     """
-    Return the rank that a request goes to.
+    Return the rank that a request is sent to, ``None`` if there are no ranks.
 
-    ``home`` gives the slots that are this entry's own, see AssignedSlots. One of
-    those is taken where one is free; else a rank by chance, the likelier the more
-    slots it has free, since others choose at the same time and know no more; and
-    where all are full the one with the least running.
+    ``assigned`` holds the number of slots per rank that are assigned to this entry, see
+    AssignedSlots. Use a rank with a free assigned slot if there is one. Otherwise pick
+    at random among the ranks with free slots, weighted by their number, because other
+    entries choose at the same time with the same information. If all ranks are full,
+    use one that runs the fewest requests.
     """
     usable = without_ejected(states, now)
     if not usable:
         return None
     running = {s.target.name: s.running + elsewhere(s.target.name) for s in usable}
     free = [s for s in usable if running[s.target.name] < s.target.slots]
-    own = [s for s in free if s.running < home.get(s.target.name, 0)]
-    if free and not own:
+    free_assigned = [s for s in free if s.running < assigned.get(s.target.name, 0)]
+    if free and not free_assigned:
         weights = [(s.target.slots - running[s.target.name]) ** 2 for s in free]
         return rng.choices(free, weights)[0]
-    candidates = own or usable
+    candidates = free_assigned or usable
     keys = [(running[s.target.name], s.prompt_tokens) for s in candidates]
     least = min(keys)
     return rng.choice(
@@ -76,7 +78,7 @@
     now: float,
     rng: random.Random,
 ) -> DirectTargetState | None:
-    """Return the target where a call is expected to take the least time."""
+    """Return the target with the lowest expected cost, ``None`` if there are none."""
     usable = without_ejected(states, now)
     if not usable:
         return None
@@ -100,6 +102,6 @@
 def without_ejected(
     states: Sequence[DirectTargetState], now: float
 ) -> list[DirectTargetState]:
-    """Return the targets not ejected, or where all are, all of them."""
+    """Return the targets that are not ejected, or all targets if all are ejected."""
     usable = [state for state in states if state.ejected_until <= now]
     return usable or list(states)
--- a/packages/entry/src/briarthread_entry/direct/client_retry_detector.py
+++ b/packages/entry/src/briarthread_entry/direct/client_retry_detector.py
@@ -1,15 +1,15 @@
-"""Recognition of callers who come back after a refusal."""
+"""Detection of callers that retry after a refusal."""
 
 RETRY_TIME_SHARE = 0.95
-"""Part of the usual time under which a caller has been here before."""
+"""Fraction of the full time budget below which a request is taken for a retry."""
 
 
 class ClientRetryDetector:
     """
-    Tell who comes back by the time that the caller has left.
+    Detect retries of callers by their remaining time budget.
 
-    Callers of a route all start with the same time; one with clearly less has
-    spent the rest on an earlier attempt.
+    All callers of a route start with the same time budget. One with clearly less has
+    spent the difference on an earlier attempt.
 
     >>> detector = ClientRetryDetector()
     >>> detector.is_client_retry("book", 8.0), detector.is_client_retry("book", 6.1)
@@ -17,12 +17,12 @@
     """
 
     def __init__(self) -> None:
-        self.usual: dict[str, float] = {}
+        self.full_budgets: dict[str, float] = {}
 
     def is_client_retry(self, route: str, time_left: float | None) -> bool:
-        """Tell whether a caller with this time left was here before."""
+        """Return whether a caller with this remaining time has already tried."""
         if time_left is None:
             return False
-        usual = max(self.usual.get(route, 0.0), time_left)
-        self.usual[route] = usual
-        return time_left < usual * RETRY_TIME_SHARE
+        full_budget = max(self.full_budgets.get(route, 0.0), time_left)
+        self.full_budgets[route] = full_budget
+        return time_left < full_budget * RETRY_TIME_SHARE
--- a/packages/entry/src/briarthread_entry/direct/crash_rule.py
+++ b/packages/entry/src/briarthread_entry/direct/crash_rule.py
@@ -1,34 +1,38 @@
 """
-The rule by which a request is taken to crash the targets that begin it.
-
-It answers one request that takes a target away each time it is sent, and with a rank
-its whole group, and comes again at any entry; and days on which targets crash for
-other reasons, on which nobody's request may be shut out.
-
-All that a crashed target had begun and not yet answered is suspect: a request that
-crashes targets does so as it begins, so that streams with events already are not. One
-that was answered whole anywhere within the last minute is not suspect either, which
-clears requests that many ask alike. A crash counts only if its run began after the
-crash counted before: requests that run in many places when many targets go at once get
-one strike for it.
+Rule that decides whether a request crashes the targets that execute it.
+
+A request may crash its target, and with a rank the whole group, each time it is sent,
+and its caller may repeat it at any entry. On the other hand, no request may be blocked
+because targets crash for other reasons.
+
+Each request that a crashed target had started and not yet answered gets a strike. A
+request that crashes targets does so when it starts, so streams that have already
+returned events get none. Neither does a request that was answered completely anywhere
+within the last minute, which clears requests that many callers send alike. A crash
+counts only if the run began after the previously counted crash, so that a request that
+runs at many targets that fail at the same time is counted once.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 MAX_CRASHES = 3
-"""Crashes that one request may cause, over all entries."""
+"""Crashes, over all entries, after which a request is blocked."""
 MAX_RETRIED_CRASHES = 1
-"""Crashes up to which an entry sends a request on by itself. Most suspects are
-bystanders, which the next run clears; a second crash makes it likely enough that the
-caller has to ask again."""
+"""Crashes up to which an entry retries a request itself. Most suspect requests only ran
+at the same time as the cause, and their next run clears them. After a second crash the
+request is a likely cause, so a retry is left to the caller."""
 TIME_TOLERANCE_SECONDS = 0.02
-"""By how much times told by two entries may differ."""
+"""Tolerance in seconds for times reported by different entries."""
 
 
 @dataclass(frozen=True, slots=True)
 class Strike:
-    """A run that a target's crash ended; times are the runtime's seconds."""
+    """
+    A run of a request that ended with a crash of its target.
+
+    Times are in seconds on the event loop's clock.
+    """
 
     target: str
     began: float
@@ -37,7 +41,7 @@
 
 def count_sequential_crashes(strikes: Iterable[Strike]) -> int:
     """
-    Return how many crashes one after the other a request was part of.
+    Return the number of successive crashes that a request was involved in.
 
     >>> count_sequential_crashes(
     ...     [Strike("a", 1.0, 1.1), Strike("b", 1.0, 1.1), Strike("c", 1.0, 1.2)]
@@ -48,10 +52,10 @@
     ... )
     3
     """
-    number = 0
-    last = float("-inf")
+    count = 0
+    last_ended = float("-inf")
     for strike in sorted(strikes, key=lambda strike: strike.ended):
-        if strike.began >= last - TIME_TOLERANCE_SECONDS:
-            number += 1
-            last = strike.ended
-    return number
+        if strike.began >= last_ended - TIME_TOLERANCE_SECONDS:
+            count += 1
+            last_ended = strike.ended
+    return count
--- a/packages/entry/src/briarthread_entry/direct/issuer_order.py
+++ b/packages/entry/src/briarthread_entry/direct/issuer_order.py
@@ -1,10 +1,11 @@
 """
-Which entry deals a target's limit, and what others deal in its place.
+Order of the entries that issue the tokens of a target's rate limit.
 
-It lies in the target's own data centre: where that is cut off, those outside reach
-neither the target nor the dealer, and those inside go on with both. Two may deal at
-the same time while entries disagree on who is there, so each place deals less than the
-one before: a target then gets 1.5 times its limit, and twice at most.
+The issuer is an entry in the target's own data centre. If that data centre is cut off,
+entries outside reach neither the target nor the issuer, and entries inside reach both.
+While entries disagree on which entries exist, several may issue tokens at the same
+time. The share therefore decreases along the order: a target gets 1.5 times its limit
+then, and twice the limit at most.
 """
 
 from collections.abc import Mapping
@@ -14,12 +15,12 @@
 from briarthread_common.utils.hashing import rendezvous_order
 
 SECOND_ISSUER_SHARE = 0.5
-"""Part of a limit that is dealt in the place of the first."""
+"""Fraction of a limit that the second entry issues in place of the first."""
 
 
 def issuers_of(target: DirectTarget, entries: Mapping[str, Instance]) -> list[str]:
     """
-    Return the entries that deal a target's limit, in the order of asking.
+    Return the entries that may issue a target's tokens, in order of preference.
 
     >>> from briarthread_common.messages.instance import InstanceRole
     >>> rows = [("a", "x"), ("b", "y"), ("c", "y")]
@@ -28,21 +29,21 @@
     >>> sorted(issuers_of(target, known))
     ['b', 'c']
     """
-    near = [n for n, row in entries.items() if row.data_centre == target.data_centre]
-    return rendezvous_order(target.name, near or entries)
+    local = [n for n, row in entries.items() if row.data_centre == target.data_centre]
+    return rendezvous_order(target.name, local or entries)
 
 
-def issued_share(dealer: str, order: list[str]) -> float:
+def issued_share(issuer: str, order: list[str]) -> float:
     """
-    Return the part of a limit that an entry deals.
+    Return the fraction of a limit that an entry issues.
 
-    All after the second share what is left of twice the limit.
+    The entries after the second one share the rest of twice the limit.
 
     >>> [issued_share(name, ["a", "b", "c", "d"]) for name in "abcd"]
     [1.0, 0.5, 0.125, 0.125]
     """
-    if order and dealer == order[0]:
+    if order and issuer == order[0]:
         return 1.0
-    if len(order) > 1 and dealer == order[1]:
+    if len(order) > 1 and issuer == order[1]:
         return SECOND_ISSUER_SHARE
     return SECOND_ISSUER_SHARE / max(len(order), 1)
--- a/packages/entry/src/briarthread_entry/direct/leaving_targets.py
+++ b/packages/entry/src/briarthread_entry/direct/leaving_targets.py
@@ -1,4 +1,4 @@
-"""The targets that announced in a response that they are shutting down."""
+"""Targets that announced in a response that they are shutting down."""
 
 from collections.abc import Collection, Iterable
 
@@ -36,7 +36,7 @@
             self.own.add(target)
 
     def set_reported(self, entry: str, targets: Iterable[str]) -> None:
-        """Replace what another entry reports."""
+        """Replace the leaving targets that another entry reports."""
         reported = frozenset(targets)
         for target in sorted(reported - self.reported.get(entry, frozenset())):
             logger.info("targets: {} is leaving, according to {}", target, entry)
@@ -56,9 +56,9 @@
         )
 
     def own_names(self) -> tuple[str, ...]:
-        """Return the sorted names that this entry reports to others."""
+        """Return the sorted names of the targets to report to other entries."""
         return tuple(sorted(self.own))
 
     def retain(self, targets: Collection[str]) -> None:
-        """Forget this entry's own announcements from all targets but some."""
+        """Forget the announcements to this entry, except those of the given targets."""
         self.own.intersection_update(targets)
--- a/packages/entry/src/briarthread_entry/direct/limit_tokens.py
+++ b/packages/entry/src/briarthread_entry/direct/limit_tokens.py
@@ -1,4 +1,4 @@
-"""The asking for attempts at targets that name a limit."""
+"""Rate-limit tokens for attempts at targets that state a limit."""
 
 from collections.abc import Callable, Container
 
@@ -26,23 +26,23 @@
 from briarthread_entry.direct.token_issuer import TokenIssuer
 
 TOKEN_TIMEOUT_SECONDS = 0.15
-"""Longest wait for a dealer: many times what a call between entries takes, and short
-enough that the request can still be in time elsewhere."""
+"""Timeout in seconds of a call to an issuer. It is many times the duration of a call
+between entries and leaves the request enough time for another target."""
 SKIP_SECONDS = 4.0
-"""How long a dealer that did not answer is passed over."""
+"""Time in seconds for which an issuer that did not respond is skipped."""
 UNKNOWN_TARGET_SECONDS = 0.5
-"""Pause before a dealer is asked again that does not know the target yet."""
+"""Pause in seconds before an issuer that does not know the target is asked again."""
 MAX_ISSUERS_ASKED = 2
-"""Dealers that are asked before an entry deals for itself."""
+"""Maximum number of issuers that are asked before an entry issues its own tokens."""
 
 FindTarget = Callable[[str], DirectTarget | None]
 
 
 class LimitTokens:
     """
-    Take tokens for attempts at targets with a limit, and deal them to others.
+    Acquire tokens for attempts at targets with a limit and issue them to other entries.
 
-    ``find`` gives a listed target by its name.
+    ``find`` returns a known target by its name.
     """
 
     def __init__(
@@ -61,40 +61,40 @@
         self.channel = channel
         self.metrics = metrics
         self.issuer = TokenIssuer()
-        self.lost = PassedOver(SKIP_SECONDS)
+        self.unresponsive = PassedOver(SKIP_SECONDS)
         self.closed: dict[str, float] = {}
 
     def routes(self) -> list[Route]:
-        """Return the route of those who ask."""
-        return [json_route(TOKENS_PATH, TokenAsk, self._answer)]
+        """Return the route on which other entries request tokens."""
+        return [json_route(TOKENS_PATH, TokenAsk, self._handle_request)]
 
     def is_limited(self, target: str) -> bool:
-        """Tell whether attempts at a target need a token."""
+        """Return whether attempts at a target need a token."""
         return self.limits.limit_of(target) is not None
 
     def opens_at(self, target: str, now: float) -> float:
-        """Return from when on a token for a target may be asked for."""
+        """Return when a token may be requested, ``now`` if it may be already."""
         if not self.is_limited(target):
             self.closed.pop(target, None)
         return self.closed.get(target, now)
 
     def retain(self, targets: Container[str]) -> None:
-        """Forget all targets but some."""
+        """Forget all targets except the given ones."""
         self.issuer.retain(targets)
         for name in [name for name in self.closed if name not in targets]:
             del self.closed[name]
 
     async def acquire(self, target: DirectTarget, wait: float) -> bool:
         """
-        Take a token, waiting up to ``wait`` seconds for it.
+        Acquire a token, waiting up to ``wait`` seconds for it.
 
-        Where it is denied ``opens_at`` says when to ask again.
+        If it is denied, ``opens_at`` returns when to ask again.
         """
-        word = self.limits.latest(target.name, anyio.current_time())
-        if word is None or word.per_second is None:
+        limit = self.limits.latest(target.name, anyio.current_time())
+        if limit is None or limit.per_second is None:
             return True
-        ask = TokenAsk(self.name, target.name, word, wait)
-        answer = await self._ask(target, ask)
+        ask = TokenAsk(self.name, target.name, limit, wait)
+        answer = await self._request(target, ask)
         self.metrics.limited_attempts.labels(_decision(answer)).inc()
         if answer.granted:
             await anyio.sleep(answer.pause)
@@ -102,23 +102,23 @@
         self.closed[target.name] = anyio.current_time() + answer.pause
         return False
 
-    async def _ask(self, target: DirectTarget, ask: TokenAsk) -> TokenAnswer:
-        """Return the answer of the first dealer that gives one."""
+    async def _request(self, target: DirectTarget, ask: TokenAsk) -> TokenAnswer:
+        """Return the answer of the first issuer that responds."""
         entries = self._entries()
         order = issuers_of(target, entries)
-        for name in self.lost.others(order)[:MAX_ISSUERS_ASKED]:
+        for name in self.unresponsive.others(order)[:MAX_ISSUERS_ASKED]:
             if name == self.name:
                 break
             answer = await self._call(entries[name], ask)
             if answer is not None:
                 return answer
-        return self._deal(ask, order)
+        return self._issue(ask, order)
 
-    async def _call(self, dealer: Instance, ask: TokenAsk) -> TokenAnswer | None:
+    async def _call(self, issuer: Instance, ask: TokenAsk) -> TokenAnswer | None:
         try:
             answer = await call_json(
                 self.channel,
-                dealer.address,
+                issuer.address,
                 "POST",
                 TOKENS_PATH,
                 ask,
@@ -127,36 +127,36 @@
             )
         except ChannelError as error:
             logger.info(
-                "limits: {} deals {} no more: {}", dealer.name, ask.target, error
+                "limits: {} issues no tokens for {}: {}", issuer.name, ask.target, error
             )
-            self.lost.note(dealer.name)
+            self.unresponsive.note(issuer.name)
             return None
-        self._learn(dealer.name, ask.target, answer.word)
+        self._merge(issuer.name, ask.target, answer.word)
         return answer
 
-    async def _answer(self, ask: TokenAsk) -> TokenAnswer:
-        self._learn(ask.asker, ask.target, ask.word)
+    async def _handle_request(self, ask: TokenAsk) -> TokenAnswer:
+        self._merge(ask.asker, ask.target, ask.word)
         target = self.find(ask.target)
         if target is None:
             return TokenAnswer(False, UNKNOWN_TARGET_SECONDS)
-        return self._deal(ask, issuers_of(target, self._entries()))
+        return self._issue(ask, issuers_of(target, self._entries()))
 
-    def _deal(self, ask: TokenAsk, order: list[str]) -> TokenAnswer:
-        """Deal as the entry that stands where this one does in an order of dealers."""
+    def _issue(self, ask: TokenAsk, order: list[str]) -> TokenAnswer:
+        """Issue a token according to this entry's position in the order of issuers."""
         now = anyio.current_time()
-        word = self.limits.latest(ask.target, now)
-        if word is None or word.per_second is None:
-            return TokenAnswer(True, 0.0, word)
-        rate = word.per_second * issued_share(self.name, order)
+        limit = self.limits.latest(ask.target, now)
+        if limit is None or limit.per_second is None:
+            return TokenAnswer(True, 0.0, limit)
+        rate = limit.per_second * issued_share(self.name, order)
         answer = self.issuer.issue(ask.asker, ask.target, rate, ask.wait, now)
-        return TokenAnswer(answer.granted, answer.pause, word)
+        return TokenAnswer(answer.granted, answer.pause, limit)
 
     def _entries(self) -> dict[str, Instance]:
         return self.directory.of_role(InstanceRole.ENTRY)
 
-    def _learn(self, source: str, target: str, word: LimitWord | None) -> None:
-        if word is not None:
-            self.limits.merge(source, {target: word}, anyio.current_time())
+    def _merge(self, source: str, target: str, limit: LimitWord | None) -> None:
+        if limit is not None:
+            self.limits.merge(source, {target: limit}, anyio.current_time())
 
 
 def _decision(answer: TokenAnswer) -> str:
--- a/packages/entry/src/briarthread_entry/direct/shared_retry_budget.py
+++ b/packages/entry/src/briarthread_entry/direct/shared_retry_budget.py
@@ -1,9 +1,9 @@
 """
-One entry's part of a retry budget that all entries share.
+One entry's part of the retry budget that all entries share.
 
-It answers failures of many targets at once, where every request would be sent
-again: over any window a service may get, beyond the first attempt of each
-request, a share of its requests and a fixed reserve, all entries together.
+The budget limits retries when many targets fail at once and every request would be
+retried. In any window all entries together may send to a service, in addition to the
+first attempt of each request, a fraction of its requests and a fixed reserve.
 """
 
 from collections import deque
@@ -11,16 +11,17 @@
 from dataclasses import dataclass
 
 USED_SHARE = 0.7
-"""Part of the allowance that is used: entries count in windows of their own,
-and one that just started does not know yet how many others there are."""
+"""Fraction of the allowance that is used. Each entry counts in its own window, and an
+entry that has just started does not know yet how many others there are."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryAllowance:
     """
-    State what the platform allows in any ``window`` seconds.
+    The retries that the platform allows in any ``window`` seconds.
 
-    ``ratio`` is the share of the requests; ``reserve`` is allowed besides.
+    ``ratio`` is the fraction of requests that may be retried, ``reserve`` the number of
+    retries allowed in addition.
     """
 
     ratio: float
@@ -30,7 +31,7 @@
 
 class SharedRetryBudget:
     """
-    Count requests and repeats a service and allow this entry's part.
+    Count requests and retries per service and limit retries to this entry's part.
 
     >>> budget = SharedRetryBudget(RetryAllowance(0.2, 20.0, 10.0), lambda: 5)
     >>> [budget.spend("s", now=1.0) for _ in range(4)]
@@ -50,14 +51,14 @@
         self._recent(self.requests, service, now).append(now)
 
     def spend(self, service: str, now: float) -> bool:
-        """Take one repeat out; tell whether there was one."""
+        """Consume one retry and return whether the budget allowed it."""
         requests = self._recent(self.requests, service, now)
-        repeats = self._recent(self.retries, service, now)
+        retries = self._recent(self.retries, service, now)
         reserve = self.allowance.reserve / max(self.entries(), 1)
         allowed = USED_SHARE * (self.allowance.ratio * len(requests) + reserve)
-        if len(repeats) + 1 > allowed:
+        if len(retries) + 1 > allowed:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
     def _recent(
--- a/packages/entry/src/briarthread_entry/direct/slow_ranks.py
+++ b/packages/entry/src/briarthread_entry/direct/slow_ranks.py
@@ -1,9 +1,9 @@
 """
-The ranks of a lock-step group that are too slow to be used.
+Exclusion of slow ranks of a lock-step group.
 
-It answers a rank that turns several times slower than the others. A pass lasts
-as long as the slowest rank's part, so that a request on such a rank holds up
-those on all others; a rank without requests holds up nobody.
+A rank may become several times slower than the others. A pass takes as long as its
+slowest rank, so a request on a slow rank delays the requests on all other ranks. A rank
+without requests delays none.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,12 +20,12 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 MIN_MOVE_FACTOR = 2.0
-"""How many times longer than usual a rank must take for streams to be taken
-from it: their prompts are read again elsewhere, about a pass of work."""
+"""Slowdown of a rank from which its streams are moved to other ranks. Moving a stream
+means processing its prompt again, which costs about one pass."""
 
 
 class SlowRanks:
-    """Tell which ranks new requests may go to, and when to leave one."""
+    """Select the ranks for new requests and move streams off slow ranks."""
 
     def __init__(
         self, registry: TargetRegistry, roster: GroupRoster, groups: GroupBoard
@@ -33,15 +33,15 @@
         self.registry = registry
         self.roster = roster
         self.groups = groups
-        self.attempts: set[_Watched] = set()
+        self.attempts: set[_WatchedAttempt] = set()
 
     def usable(self, service: str, now: float) -> list[DirectTargetState]:
-        """Return the ranks of a service that new requests may go to."""
-        found: list[DirectTargetState] = []
+        """Return the ranks of a service that may get new requests."""
+        ranks: list[DirectTargetState] = []
         by_group = self.roster.split(self.registry.available_targets(service, now))
         for group, states in by_group.items():
-            found += self._usable_of(group, states, now)
-        return found
+            ranks += self._usable_of(group, states, now)
+        return ranks
 
     def _usable_of(
         self, group: GroupId, states: list[DirectTargetState], now: float
@@ -57,13 +57,12 @@
         self, service: str, state: DirectTargetState, leave: Callable[[float], None]
     ) -> Iterator[None]:
         """
-        Have ``leave`` called once when a rank is to be left.
+        Call ``leave`` at most once, with the slowdown, when the rank is too slow.
 
-        It gets how many times slower the rank is. Nothing is awaited at the
-        end, so that an attempt that is done is noted before its caller's next
-        request.
+        Nothing is awaited on exit, so that a finished attempt is recorded before its
+        caller's next request.
         """
-        attempt = _Watched(service, state, leave)
+        attempt = _WatchedAttempt(service, state, leave)
         self.attempts.add(attempt)
         try:
             yield
@@ -71,7 +70,7 @@
             self.attempts.discard(attempt)
 
     async def run(self) -> None:
-        """Tell attempts to leave slow ranks until cancelled."""
+        """Move attempts off slow ranks until cancelled."""
         while True:
             for attempt in list(self.attempts):
                 factor = self._leave_factor(attempt)
@@ -80,7 +79,7 @@
                     attempt.leave(factor)
             await self.groups.wait_change()
 
-    def _leave_factor(self, attempt: "_Watched") -> float | None:
+    def _leave_factor(self, attempt: "_WatchedAttempt") -> float | None:
         now = anyio.current_time()
         service, state = attempt.service, attempt.state
         group = self.roster.of(state.target)
@@ -91,7 +90,7 @@
 
 
 @dataclass(frozen=True, eq=False, slots=True)
-class _Watched:
+class _WatchedAttempt:
     service: str
     state: DirectTargetState
     leave: Callable[[float], None]
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -1,4 +1,4 @@
-"""The backoffs that targets have requested from an entry."""
+"""Backoffs that targets have requested from an entry."""
 
 import random
 from collections.abc import Iterator
@@ -17,9 +17,10 @@
 MAX_JITTER_SECONDS = 2.0
 """Upper bound of the jitter in seconds."""
 RECHECK_SECONDS = 0.05
-"""Delay before a target with no free attempt in its slow start is checked again."""
+"""Delay in seconds before a target without a free attempt in its slow start is checked
+again."""
 RETENTION_SECONDS = 60.0
-"""How long the backoff of a target that gets no requests is kept after its end."""
+"""Time in seconds for which an expired backoff of an unused target is kept."""
 
 
 class TargetBackoffs:
@@ -43,7 +44,7 @@
         self.backoffs: dict[str, Backoff] = {}
 
     def note_response(self, target: str, notice: AnswerNotice, now: float) -> None:
-        """Record what the head of a response says."""
+        """Update the backoff of a target from the head of a response."""
         if notice.backoff > 0:
             self._extend(target, notice.backoff, now)
             return
@@ -59,7 +60,7 @@
         return backoff is not None and now < backoff.until
 
     def opens_at(self, target: str, now: float) -> float:
-        """Return when the next attempt may start, ``now`` if it may already."""
+        """Return when the next attempt may start, ``now`` if it may start already."""
         backoff = self.backoffs.get(target)
         if backoff is None or backoff.free_attempts(now) > 0:
             return now
@@ -95,12 +96,12 @@
     def _extend(self, target: str, seconds: float, now: float) -> None:
         self.metrics.backoffs.inc()
         logger.info("backoffs: {} requested a backoff of {:g} s", target, seconds)
-        self._drop_expired(now)
+        self._remove_expired(now)
         until = now + seconds
-        spread = min(seconds * JITTER_SHARE, MAX_JITTER_SECONDS) * self.rng.random()
-        self.backoffs.setdefault(target, Backoff()).extend(until, until + spread)
+        jitter = min(seconds * JITTER_SHARE, MAX_JITTER_SECONDS) * self.rng.random()
+        self.backoffs.setdefault(target, Backoff()).extend(until, until + jitter)
 
-    def _drop_expired(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for name, backoff in list(self.backoffs.items()):
             if backoff.opens_at + RETENTION_SECONDS < now and not backoff.running:
                 del self.backoffs[name]
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -1,4 +1,4 @@
-"""The choice of the target for one attempt, by all that an entry knows."""
+"""Selection of the target for one attempt."""
 
 import random
 
@@ -21,19 +21,19 @@
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
 MAX_WAIT_SHARE = 0.5
-"""Part of the route's aim that a wait for a target whose limit is used up may take;
-the rest is for the answer."""
+"""Fraction of the route's latency objective that may be spent waiting for a target
+to accept a request; the rest is left for the response."""
 MAX_TOKEN_REQUESTS = 3
-"""Targets whose limits are asked about for one attempt: each costs a call."""
+"""Tokens requested for one attempt at most, since each may cost a call."""
 
 
 class TargetChooser:
     """
-    Choose the target of an attempt, and take a token where it names a limit.
+    Choose the target of an attempt and acquire a token if it has a rate limit.
 
-    A target with a limit is neither slow nor sick: it is chosen like any other as long
-    as its limit has room, and left alone while it has none. A target in
-    backoff is not chosen, and no token is taken for it.
+    A rate limit does not mean that a target is slow or failing: the target is chosen
+    like any other while its limit leaves room, and skipped while it does not. A target
+    in backoff is not chosen, and no token is acquired for it.
     """
 
     def __init__(
@@ -64,45 +64,51 @@
         self, request: DirectRequest, tried: set[str], groups: set[GroupId] | None
     ) -> DirectTargetState | None:
         """
-        Return where an attempt goes, ``None`` where nothing is left to try.
+        Return the target of the next attempt, ``None`` if none is left to try.
 
-        Raise TargetsClosed if none of the remaining targets accepts a request before
-        this one would be late.
+        Raise TargetsClosed if none of the remaining targets accepts a request within
+        the time that this one may wait.
         """
-        asks = 0
+        token_requests = 0
         while True:
             now = anyio.current_time()
             states = self._candidates(request, tried, groups, now)
             if not states:
                 return None
             wait_left = (
-                self._wait_until(request) - now if asks < MAX_TOKEN_REQUESTS else 0.0
+                self._wait_deadline(request) - now
+                if token_requests < MAX_TOKEN_REQUESTS
+                else 0.0
+            )
+            open_states = self._open_targets(
+                states, token_requests < MAX_TOKEN_REQUESTS, now
             )
-            open_states = self._open(states, asks < MAX_TOKEN_REQUESTS, now)
             if not open_states:
                 await self._wait(states, now, wait_left)
                 continue
-            candidates = self._preferred(self._apart(open_states), now)
-            state = self._pick(request, candidates, now)
+            candidates = self._preferred(self._without_suspects(open_states), now)
+            state = self._select(request, candidates, now)
             if state is None or not self.tokens.is_limited(state.target.name):
                 return state
-            asks += 1
-            only = all(self.tokens.is_limited(s.target.name) for s in open_states)
-            wait = max(wait_left, 0.0) if only else 0.0
+            token_requests += 1
+            all_limited = all(
+                self.tokens.is_limited(s.target.name) for s in open_states
+            )
+            wait = max(wait_left, 0.0) if all_limited else 0.0
             if await self.tokens.acquire(state.target, wait) and self._still_open(
                 state
             ):
                 return state
 
-    def _open(
-        self, states: list[DirectTargetState], may_ask: bool, now: float
+    def _open_targets(
+        self, states: list[DirectTargetState], allow_limited: bool, now: float
     ) -> list[DirectTargetState]:
-        """Return those without a limit and, if ``may_ask``, those worth asking for."""
+        """Return the open targets; those with a limit only if ``allow_limited``."""
         return [
             state
             for state in states
             if self._opens_at(state, now) <= now
-            and (may_ask or not self.tokens.is_limited(state.target.name))
+            and (allow_limited or not self.tokens.is_limited(state.target.name))
         ]
 
     def _preferred(
@@ -125,7 +131,7 @@
         return preferred or states
 
     def _total_running(self, state: DirectTargetState, now: float) -> int:
-        """Return the attempts that all entries have running at a target."""
+        """Return the number of attempts that all entries are running at a target."""
         return state.running + self.board.elsewhere(state.target.name, now)
 
     async def _wait(
@@ -148,14 +154,14 @@
         return ErrorKind.TARGETS_LIMITED
 
     def _still_open(self, state: DirectTargetState) -> bool:
-        """Return whether a target is listed and open after the wait for a token."""
+        """Return whether a target is still usable after the wait for a token."""
         now = anyio.current_time()
         opens_at = self.backoffs.opens_at(state.target.name, now)
         return self.registry.accepts_requests(state) and opens_at <= now
 
-    def _wait_until(self, request: DirectRequest) -> float:
-        aim = request.route.aim * MAX_WAIT_SHARE
-        return request.arrived + min(aim, LONGEST_WAIT)
+    def _wait_deadline(self, request: DirectRequest) -> float:
+        max_wait = request.route.aim * MAX_WAIT_SHARE
+        return request.arrived + min(max_wait, LONGEST_WAIT)
 
     def _candidates(
         self,
@@ -172,7 +178,7 @@
         untried = [state for state in states if state.target.name not in tried]
         return self._in_groups(untried, groups)
 
-    def _pick(
+    def _select(
         self, request: DirectRequest, states: list[DirectTargetState], now: float
     ) -> DirectTargetState | None:
         service = request.service.name
@@ -183,25 +189,28 @@
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
         listed = self.registry.available_targets(service, now)
-        home = self.assigned_slots.of(service, [state.target for state in listed])
-        return choose_rank(states, elsewhere, home, now, self.rng)
+        assigned = self.assigned_slots.of(service, [state.target for state in listed])
+        return choose_rank(states, elsewhere, assigned, now, self.rng)
 
-    def _apart(self, states: list[DirectTargetState]) -> list[DirectTargetState]:
+    def _without_suspects(
+        self, states: list[DirectTargetState]
+    ) -> list[DirectTargetState]:
         """
-        Return the targets at which no request runs that may crash them.
+        Return the targets that run no request suspected of crashing its target.
 
-        The next crash then names it, and takes as few others with it as can be.
+        Return all targets if there are none. Keeping a suspect request apart means
+        that the next crash identifies it and interrupts few other requests.
         """
-        avoided = self.crashes.suspect_targets()
-        if not avoided:
+        suspects = self.crashes.suspect_targets()
+        if not suspects:
             return states
-        return [s for s in states if s.target.name not in avoided] or states
+        return [s for s in states if s.target.name not in suspects] or states
 
     def _in_groups(
         self, states: list[DirectTargetState], groups: set[GroupId] | None
     ) -> list[DirectTargetState]:
-        """Return the ranks of some groups, or where there are none, all of them."""
+        """Return the ranks in the given groups, or all ranks if none is in them."""
         if groups is None:
             return states
-        of = self.rooms.roster.of
-        return [state for state in states if of(state.target) in groups] or states
+        group_of = self.rooms.roster.of
+        return [state for state in states if group_of(state.target) in groups] or states
--- a/packages/entry/src/briarthread_entry/direct/target_limits.py
+++ b/packages/entry/src/briarthread_entry/direct/target_limits.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the limits that targets name."""
+"""The rate limits that targets state in their responses."""
 
 from collections.abc import Container, Mapping
 from dataclasses import dataclass
@@ -10,13 +10,14 @@
 from briarthread_common.messages.limit_word import LimitWord
 
 ENDED_REPORT_SECONDS = 10.0
-"""How long others are told that a limit has ended: all of them hear of it within
-one second, and one that was cut off for longer learns it from its own answers."""
+"""Time in seconds for which the end of a limit is reported. All entries receive a
+report within one second; an entry that was cut off for longer learns it from its own
+responses."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownLimit:
-    """Hold a limit, ``None`` for one that ended, and when it was said."""
+    """A limit, ``None`` for one that ended, and the time when the target stated it."""
 
     per_second: float | None
     at: float
@@ -24,12 +25,13 @@
 
 class TargetLimits:
     """
-    Keep the newest word on each target's limit; times are the runtime's seconds.
+    Track the most recent rate limit of each target.
 
-    A limit holds from the answer that names it to the first answer without it to a
-    request that was sent later. So an answer that was under way when the limit came
-    does not end it. An entry tells others only what its own answers said: a word that
-    came back by way of others would look newer each time.
+    A limit is in effect from the response that states it to the first response without
+    one to a request that was sent later. A response that was in transit when the limit
+    was stated does not end it. An entry reports only limits from its own responses:
+    a limit that returned through other entries would look newer each time. Times are
+    in seconds on the event loop's clock.
 
     >>> limits = TargetLimits()
     >>> limits.note_response("t-1", "2", sent=1.0, now=1.2)
@@ -46,32 +48,32 @@
         self.own: dict[str, KnownLimit] = {}
 
     def limit_of(self, target: str) -> float | None:
-        """Return how many requests a second a target takes, ``None`` for any."""
+        """Return a target's limit in requests per second, ``None`` if it has none."""
         known = self.known.get(target)
         return None if known is None else known.per_second
 
     def note_response(
         self, target: str, raw: str | None, sent: float, now: float
     ) -> None:
-        """Record what an answer, which came now, says of its target's limit."""
+        """Record the limit in a response received now, ``None`` if it states none."""
         if raw is None and self.limit_of(target) is None:
             return
         try:
             limit = read_limit(raw)
         except DecodeError as error:
-            logger.warning("limits: kept what was known of {}: {}", target, error)
+            logger.warning("limits: kept the known limit of {}: {}", target, error)
             return
-        word = KnownLimit(limit, sent if limit is None else now)
-        if self._take_over(target, word, "its answer"):
-            self.own[target] = word
+        stated = KnownLimit(limit, sent if limit is None else now)
+        if self._update(target, stated, "its response"):
+            self.own[target] = stated
 
-    def merge(self, source: str, words: Mapping[str, LimitWord], now: float) -> None:
-        """Take over what another entry heard."""
-        for target, word in words.items():
-            self._take_over(target, KnownLimit(word.per_second, now - word.age), source)
+    def merge(self, source: str, limits: Mapping[str, LimitWord], now: float) -> None:
+        """Merge the limits that another entry reported."""
+        for target, limit in limits.items():
+            self._update(target, KnownLimit(limit.per_second, now - limit.age), source)
 
     def report(self, now: float) -> dict[str, LimitWord]:
-        """Return what other entries are told."""
+        """Return the limits to report to other entries."""
         return {
             target: LimitWord(own.per_second, round(now - own.at, 3))
             for target, own in self.own.items()
@@ -79,32 +81,37 @@
         }
 
     def latest(self, target: str, now: float) -> LimitWord | None:
-        """Return the newest word on one target."""
+        """Return the most recent limit of one target, to send it to another entry."""
         known = self.known.get(target)
         return known and LimitWord(known.per_second, now - known.at)
 
     def retain(self, targets: Container[str]) -> None:
-        """Forget all targets but some."""
-        for kept in (self.known, self.own):
-            for target in [name for name in kept if name not in targets]:
-                del kept[target]
+        """Forget all targets except the given ones."""
+        for limits in (self.known, self.own):
+            for target in [name for name in limits if name not in targets]:
+                del limits[target]
 
-    def _take_over(self, target: str, word: KnownLimit, source: str) -> bool:
+    def _update(self, target: str, stated: KnownLimit, source: str) -> bool:
         known = self.known.get(target)
-        if known is not None and word.at <= known.at:
+        if known is not None and stated.at <= known.at:
             return False
-        if known is None and word.per_second is None:
+        if known is None and stated.per_second is None:
             return False
-        self.known[target] = word
-        before = None if known is None else known.per_second
-        if word.per_second != before:
-            _log_change(target, word.per_second, source)
+        self.known[target] = stated
+        previous = None if known is None else known.per_second
+        if stated.per_second != previous:
+            _log_change(target, stated.per_second, source)
             self.own.pop(target, None)
         return True
 
 
 def _log_change(target: str, limit: float | None, source: str) -> None:
     if limit is None:
-        logger.info("limits: {} names none any more, says {}", target, source)
+        logger.info("limits: {} has no limit any more, according to {}", target, source)
     else:
-        logger.info("limits: {} takes {:g} a second, says {}", target, limit, source)
+        logger.info(
+            "limits: {} accepts {:g} requests per second, according to {}",
+            target,
+            limit,
+            source,
+        )
--- a/packages/entry/src/briarthread_entry/direct/target_registry.py
+++ b/packages/entry/src/briarthread_entry/direct/target_registry.py
@@ -1,4 +1,4 @@
-"""The direct targets that an entry knows."""
+"""Registry of the direct targets that an entry knows."""
 
 from collections.abc import Callable
 
@@ -13,44 +13,45 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 RELIST_SECONDS = 2.0
-"""How long after the platform's return an entry that lapsed meanwhile may
-still come back; its page on the list of workers says about two seconds."""
+"""Time in seconds after an outage of the platform within which a target whose row
+expired may be listed again. The platform documents about two seconds."""
 
 
 class TargetRegistry:
     """
     Keep a state for each target of the feed.
 
-    Entries lapse while the platform is away though their targets live on. So
-    one that vanishes while it is away, or soon after, stays in use until the
-    time for its return is over. ``on_removed`` is called when some are forgotten.
+    During an outage of the platform rows expire although their targets still run. A
+    target that is removed from the list during an outage, or soon after, therefore
+    stays in use until the time for listing it again is over. ``on_removed`` is called
+    after targets have been removed.
     """
 
     def __init__(
         self,
         feed: Feed,
         adapter: PlatformAdapter,
-        well_since: Callable[[], float],
+        healthy_since: Callable[[], float],
         leaving_targets: LeavingTargets,
     ) -> None:
         self.feed = feed
         self.adapter = adapter
-        self.well_since = well_since
+        self.healthy_since = healthy_since
         self.leaving_targets = leaving_targets
-        self.number = -1
-        self.raw: dict[str, str] = {}
+        self.applied_number = -1
+        self.raw_rows: dict[str, str] = {}
         self.states: dict[str, DirectTargetState] = {}
-        self.on_removed: Callable[[], None] = _ignore
+        self.on_removed: Callable[[], None] = _do_nothing
 
     async def follow(self) -> None:
-        """Take over each version as it comes, not only when a request asks."""
+        """Apply each version of the feed on arrival, not only when it is needed."""
         while True:
             number = self.feed.number
             self.refresh(anyio.current_time())
             await self.feed.wait_beyond(number)
 
     def available_targets(self, service: str, now: float) -> list[DirectTargetState]:
-        """Return the targets of a service that new work may be sent to."""
+        """Return the targets of a service that accept new requests."""
         self.refresh(now)
         return [
             state
@@ -63,40 +64,40 @@
         return state.is_usable() and not self.is_leaving(state)
 
     def is_leaving(self, state: DirectTargetState) -> bool:
-        """Return whether a target is leaving, by the list or by its responses."""
+        """Return whether a target is leaving according to the list or a response."""
         name = state.target.name
         return state.target.leaving or self.leaving_targets.is_leaving(name)
 
     def refresh(self, now: float) -> None:
-        """Take over what the feed says now."""
+        """Apply the current version of the feed."""
         # A target that was removed and listed again must not inherit the old state.
-        self._forget_gone(now)
-        if self.number != self.feed.number:
-            self.number = self.feed.number
-            self._take_over(now)
-            self._forget_gone(now)
-
-    def _forget_gone(self, now: float) -> None:
-        gone = [
+        self._remove_expired(now)
+        if self.applied_number != self.feed.number:
+            self.applied_number = self.feed.number
+            self._apply_feed(now)
+            self._remove_expired(now)
+
+    def _remove_expired(self, now: float) -> None:
+        expired = [
             name
             for name, state in self.states.items()
-            if state.removed_at is not None and now >= self._kept_until(state)
+            if state.removed_at is not None and now >= self._expires_at(state)
         ]
-        for name in gone:
-            logger.info("targets: {} is gone", name)
+        for name in expired:
+            logger.info("targets: {} was removed", name)
             del self.states[name]
-            self.raw.pop(name, None)
-        if gone:
+            self.raw_rows.pop(name, None)
+        if expired:
             self.on_removed()
 
     def find(self, name: str) -> DirectTarget | None:
-        """Return a target by its name, ``None`` for one that is not known."""
+        """Return a target by name, ``None`` if it is unknown."""
         state = self.states.get(name)
         return None if state is None else state.target
 
-    def _take_over(self, now: float) -> None:
+    def _apply_feed(self, now: float) -> None:
         for name, raw in self.feed.items.items():
-            if self.raw.get(name) != raw:
+            if self.raw_rows.get(name) != raw:
                 self._decode(name, raw)
             elif name in self.states:
                 self.states[name].removed_at = None
@@ -108,12 +109,14 @@
         try:
             target = self.adapter.decode_target(name, raw)
         except DecodeError as error:
-            logger.error("targets: kept what was known: {}", error)
+            logger.error(
+                "targets: invalid row ignored, keeping the known state: {}", error
+            )
             return
-        self.raw[name] = raw
-        self._put(target)
+        self.raw_rows[name] = raw
+        self._update(target)
 
-    def _put(self, target: DirectTarget) -> None:
+    def _update(self, target: DirectTarget) -> None:
         state = self.states.get(target.name)
         if state is None:
             logger.info("targets: {} of {} is new", target.name, target.service)
@@ -124,12 +127,12 @@
         state.target = target
         state.removed_at = None
 
-    def _kept_until(self, state: DirectTargetState) -> float:
-        """Return when a target that left the list is to be taken for gone."""
+    def _expires_at(self, state: DirectTargetState) -> float:
+        """Return when a target that was removed from the list expires."""
         removed = state.removed_at or 0.0
-        returned = self.well_since() + RELIST_SECONDS
-        return returned if removed < returned else removed
+        relist_deadline = self.healthy_since() + RELIST_SECONDS
+        return relist_deadline if removed < relist_deadline else removed
 
 
-def _ignore() -> None:
-    """Take no note of targets that are gone."""
+def _do_nothing() -> None:
+    """Ignore the removal of targets."""
--- a/packages/entry/src/briarthread_entry/direct/target_state.py
+++ b/packages/entry/src/briarthread_entry/direct/target_state.py
@@ -1,4 +1,4 @@
-"""What an entry knows of one direct target."""
+"""State that an entry keeps for a direct target."""
 
 from dataclasses import dataclass, field
 
@@ -6,25 +6,30 @@
 from briarthread_common.utils.decaying_mean import DecayingMean
 
 EJECTION_FAILURES = 2
-"""Failures in a row after which a target is left out for a while: one alone
-is what a sound target shows now and then."""
+"""Consecutive failures after which a target is ejected. Healthy targets occasionally
+fail once."""
 BASE_EJECTION_SECONDS = 1.0
-"""First time out. A target that crashed is back or replaced within seconds."""
+"""Duration of the first ejection in seconds. A crashed target is restarted or replaced
+within seconds."""
 MAX_EJECTION_SECONDS = 4.0
-"""Longest time out; beyond it a target that is well again stays unused."""
+"""Longest ejection in seconds. A longer one would leave recovered targets unused."""
 SAMPLE_WEIGHT = 0.15
-"""Weight of one answer in the share of failures: some seven answers count."""
+"""Weight of one sample in the moving averages, which then cover about seven
+responses."""
 DEFAULT_RESPONSE_SECONDS = 0.05
-"""Assumed time of an answer before the first; a plain call takes about that."""
+"""Response time in seconds assumed before the first response, typical of a call to a
+plain target."""
 
 
 @dataclass(slots=True, eq=False)
 class DirectTargetState:
     """
-    Hold a target with what was seen of it; times are the runtime's seconds.
+    Hold a target and this entry's observations of it.
 
-    ``running`` counts the attempts that this entry has there now.
-    ``removed_at`` is when the platform's list dropped the target.
+    ``running`` is the number of attempts that this entry is running at the target.
+    ``replaced`` is true if another target answers at its address. ``removed_at`` is the
+    time when the target was removed from the platform's list. Times are in seconds on
+    the event loop's clock.
     """
 
     target: DirectTarget
@@ -43,42 +48,46 @@
     )
 
     def note_success(self, seconds: float) -> None:
-        """Record an answer and the seconds that it took."""
+        """Record a successful attempt and its duration."""
         self.failures = 0
         self.ejections = 0
         self.failure_share.add(0.0)
         self.response_seconds.add(seconds)
 
     def note_failure(self, now: float) -> bool:
-        """Record a failed attempt; tell whether it ejects the target."""
+        """Record a failed attempt and return whether it ejects the target."""
         self.failure_share.add(1.0)
         self.failures += 1
         if self.failures < EJECTION_FAILURES:
             return False
         self.failures = 0
         self.ejections += 1
-        pause = min(
+        duration = min(
             BASE_EJECTION_SECONDS * 2 ** (self.ejections - 1), MAX_EJECTION_SECONDS
         )
-        self.ejected_until = now + pause
+        self.ejected_until = now + duration
         return True
 
     def is_usable(self) -> bool:
-        """Tell whether new work may be sent at all."""
+        """Return whether the target may get new requests, apart from ejections."""
         return not self.target.leaving and not self.replaced
 
-    def cost(self, waiting_elsewhere: int) -> float:
+    def cost(self, running_elsewhere: int) -> float:
         """
-        Return the seconds that one more call is expected to take.
+        Return the expected duration of one more call in seconds.
 
-        A call that fails has to be made again, so a target that fails often
-        costs as much more as that takes.
+        The duration includes the retries of calls that fail at the current failure
+        rate.
         """
         seconds = (
             self.response_seconds.value
             if self.response_seconds.samples
             else DEFAULT_RESPONSE_SECONDS
         )
-        ahead = self.running + waiting_elsewhere
+        total_running = self.running + running_elsewhere
         slots = max(self.target.slots, 1)
-        return seconds * (1 + ahead / slots) / max(1 - self.failure_share.value, 0.05)
+        return (
+            seconds
+            * (1 + total_running / slots)
+            / max(1 - self.failure_share.value, 0.05)
+        )
--- a/packages/entry/src/briarthread_entry/direct/token_issuer.py
+++ b/packages/entry/src/briarthread_entry/direct/token_issuer.py
@@ -1,11 +1,12 @@
 """
-The dealing of a target's limit to all entries.
-
-It answers a target in need that names how few requests a second it takes from all
-entries together. Parts of the limit for each entry go wrong at size: each needs room
-for one request at least, which at hundreds of entries is many times the limit. So one
-entry deals the whole limit, one request at a time, to whoever asks; see issuer_order
-for which one, and for what others deal in its place.
+Token buckets for the rate limits of targets.
+
+An overloaded target states how many requests per second it accepts from all entries
+together. Dividing the limit among the entries fails in large deployments: each entry
+needs room for at least one request, and with hundreds of entries that is many times the
+limit. Instead, one entry issues the tokens of the whole limit, one per request, to the
+entries that ask. See issuer_order for how it is selected and what other entries may
+issue in its place.
 """
 
 from collections.abc import Container
@@ -14,30 +15,31 @@
 from briarthread_common.messages.token_messages import TokenAnswer
 
 BURST_TOKENS = 2.0
-"""Requests that a target which was left alone for a while may get at once. With more,
-the first dealer and one in its place could together exceed what a limit allows over
-some seconds."""
+"""Capacity of a bucket: requests that an idle target may get at once. With a larger
+value, the first issuer and its substitute could together exceed the limit over a few
+seconds."""
 MIN_RETRY_SECONDS = 0.05
-"""Least time, s, after which one who was turned away may ask again."""
-MAX_REQUESTS_PER_SECOND = 40.0
-"""Asks about one target that a dealer wants to get: a small part of a core."""
+"""Minimum delay in seconds before a denied entry may ask again."""
+MAX_TOKEN_REQUESTS_PER_SECOND = 40.0
+"""Token requests per second and target that an issuer accepts; they take a small
+fraction of a core."""
 REQUESTER_SECONDS = 5.0
-"""How long one who asked is counted among those who want room."""
+"""Time in seconds for which a denied entry counts as a requester."""
 
 
 @dataclass(slots=True)
 class _Bucket:
     tokens: float
-    at: float
-    askers: dict[str, float] = field(default_factory=dict)
+    updated: float
+    requesters: dict[str, float] = field(default_factory=dict)
 
 
 class TokenIssuer:
     """
-    Deal the limits of targets; times are the runtime's seconds.
+    Issue tokens for the rate limits of targets.
 
-    A limit that is dealt for the first time starts with nothing, so that a dealer
-    which takes over, or starts again, adds nothing to what was dealt before it.
+    Times are in seconds on the event loop's clock. A new bucket is empty, so that an
+    issuer that takes over or restarts adds nothing to what was issued before.
 
     >>> issuer = TokenIssuer()
     >>> issuer.issue("entry-1", "t-1", 2.0, wait=0.0, now=10.0)
@@ -50,33 +52,37 @@
         self.buckets: dict[str, _Bucket] = {}
 
     def issue(
-        self, asker: str, target: str, rate: float, wait: float, now: float
+        self, requester: str, target: str, rate: float, wait: float, now: float
     ) -> TokenAnswer:
         """
-        Grant an attempt within ``wait`` seconds, or say when to ask again.
+        Grant a token within ``wait`` seconds, or return when to ask again.
 
-        ``rate`` is what is dealt a second. What is granted for later is taken at once,
-        so that those who wait are served in the order in which they asked.
+        ``rate`` is the number of tokens per second. A token that becomes available
+        later is taken immediately, so waiting requests are served in order of arrival.
         """
-        dealt = self.buckets.setdefault(target, _Bucket(0.0, now))
-        dealt.tokens = min(BURST_TOKENS, dealt.tokens + (now - dealt.at) * rate)
-        dealt.at = now
-        pause = round(max(1.0 - dealt.tokens, 0.0) / rate, 6)
+        bucket = self.buckets.setdefault(target, _Bucket(0.0, now))
+        bucket.tokens = min(BURST_TOKENS, bucket.tokens + (now - bucket.updated) * rate)
+        bucket.updated = now
+        pause = round(max(1.0 - bucket.tokens, 0.0) / rate, 6)
         if pause <= wait:
-            dealt.tokens -= 1.0
+            bucket.tokens -= 1.0
             return TokenAnswer(True, pause)
-        dealt.askers[asker] = now
+        bucket.requesters[requester] = now
         return TokenAnswer(
-            False, max(pause, _spread(dealt, rate, now), MIN_RETRY_SECONDS)
+            False, max(pause, _denied_pause(bucket, rate, now), MIN_RETRY_SECONDS)
         )
 
     def retain(self, targets: Container[str]) -> None:
-        """Forget all targets but some."""
-        self.buckets = {name: d for name, d in self.buckets.items() if name in targets}
+        """Remove the buckets of all targets except the given ones."""
+        self.buckets = {
+            name: bucket for name, bucket in self.buckets.items() if name in targets
+        }
 
 
-def _spread(dealt: _Bucket, rate: float, now: float) -> float:
-    """Return the pause in which all who ask make no more asks than are wanted."""
+def _denied_pause(bucket: _Bucket, rate: float, now: float) -> float:
+    """Return the pause that keeps the rate of token requests within its limit."""
     since = now - REQUESTER_SECONDS
-    dealt.askers = {name: at for name, at in dealt.askers.items() if at > since}
-    return len(dealt.askers) / max(MAX_REQUESTS_PER_SECOND, 2 * rate)
+    bucket.requesters = {
+        name: at for name, at in bucket.requesters.items() if at > since
+    }
+    return len(bucket.requesters) / max(MAX_TOKEN_REQUESTS_PER_SECOND, 2 * rate)
