--- a/tests/direct/test_assigned_slots.py
+++ b/tests/direct/test_assigned_slots.py
@@ -1,8 +1,8 @@
 """
-Who meets a full rank, where many entries choose ranks at the same time.
+Collisions on full ranks when many entries choose ranks at the same time.
 
-Arrivals are drawn, each entry's decision is the real one, and what it knows of
-the others is as old as reports are. The baseline takes the least loaded rank.
+Arrivals are simulated, each entry decides with the production code, and its information
+about the others is as old as reports are. The baseline chooses the least loaded rank.
 """
 
 import random
@@ -19,21 +19,23 @@
 
 
 @pytest.mark.parametrize("load", LOADS.values(), ids=LOADS)
-def test_far_fewer_meet_a_full_rank_than_at_the_least_loaded(load: DrawnLoad) -> None:
-    ours = DrawnDay(load, 3, own_slots_first).share_that_meets_a_full_rank()
-    least = DrawnDay(load, 3, least_loaded).share_that_meets_a_full_rank()
-    assert ours <= 0.75 * least
+def test_fewer_requests_meet_a_full_rank_than_with_the_least_loaded_policy(
+    load: DrawnLoad,
+) -> None:
+    actual = DrawnDay(load, 3, own_slots_first).share_that_meets_a_full_rank()
+    baseline = DrawnDay(load, 3, least_loaded).share_that_meets_a_full_rank()
+    assert actual <= 0.75 * baseline
 
 
-def test_every_slot_is_one_entrys_own() -> None:
+def test_every_slot_is_assigned_to_exactly_one_entry() -> None:
     rows = [Instance(f"e{n}", CENTRES[n % 2], "", InstanceRole.ENTRY) for n in range(7)]
     ranks = [build_target(f"r{n}", data_centre=CENTRES[n % 3]) for n in range(9)]
-    dealt = [assign_slots(row.name, rows, ranks) for row in rows]
+    assigned = [assign_slots(row.name, rows, ranks) for row in rows]
     for rank in ranks:
-        assert sum(own.get(rank.name, 0) for own in dealt) == rank.slots
+        assert sum(slots.get(rank.name, 0) for slots in assigned) == rank.slots
 
 
-def test_entry_that_is_not_listed_owns_nothing_and_chooses_all_the_same() -> None:
+def test_unlisted_entry_has_no_assigned_slots_and_still_chooses_a_rank() -> None:
     ranks = [build_target(f"r{n}") for n in range(3)]
     assert assign_slots("new", [], ranks) == {}
     states = [DirectTargetState(rank) for rank in ranks]
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -1,4 +1,4 @@
-"""What a caller gets for what a target does, and how often a request runs."""
+"""Responses to callers and numbers of runs for each behaviour of a target."""
 
 import anyio
 import pytest
@@ -7,7 +7,7 @@
 from briarthread_standins.direct_worker import WorkerFault
 from briarthread_standins.direct_world import DirectWorld
 
-SPOILT = [
+INVALID_RESPONSES = [
     WorkerFault.LOSE_ANSWER,
     WorkerFault.OTHER_ID,
     WorkerFault.NO_ID,
@@ -16,108 +16,110 @@
 ]
 
 
-def all_faulty(world: DirectWorld, fault: WorkerFault, times: int = 1) -> None:
+def set_faults(world: DirectWorld, fault: WorkerFault, times: int = 1) -> None:
     for worker in world.workers.values():
         worker.faults = [fault] * times
 
 
-def runs(world: DirectWorld) -> int:
+def count_runs(world: DirectWorld) -> int:
     return sum(sum(worker.runs.values()) for worker in world.workers.values())
 
 
-def test_answer_of_the_target_comes_back_unchanged() -> None:
+def test_response_of_the_target_is_forwarded_unchanged() -> None:
     async def scenario(world: DirectWorld) -> None:
         reply = await world.ask("entry-1", "/book/1?day=2")
         assert (reply.status, reply.headers["x-server-stamp"]) == (200, "stamp")
         assert reply.body.decode() in world.workers
-        assert runs(world) == 1
+        assert count_runs(world) == 1
 
     in_direct_world(scenario)
 
 
-def test_target_learns_account_and_time_left_but_not_the_key() -> None:
+def test_target_receives_account_and_time_left_but_not_the_key() -> None:
     async def scenario(world: DirectWorld) -> None:
         await world.ask("entry-1", "/book/1", {"x-tenant": "forged", "te": "trailers"})
-        seen = next(worker.seen[0] for worker in world.workers.values() if worker.seen)
-        assert seen["x-tenant"] == "salon"
-        assert "x-credential" not in seen
-        assert "te" not in seen
-        assert 3900 < int(seen["x-deadline-ms"]) <= 4000
-        assert seen["host"] == "salon.example"
+        headers = next(
+            worker.seen[0] for worker in world.workers.values() if worker.seen
+        )
+        assert headers["x-tenant"] == "salon"
+        assert "x-credential" not in headers
+        assert "te" not in headers
+        assert 3900 < int(headers["x-deadline-ms"]) <= 4000
+        assert headers["host"] == "salon.example"
 
     in_direct_world(scenario)
 
 
-@pytest.mark.parametrize("fault", SPOILT)
-def test_unsafe_request_with_a_spoilt_answer_is_unknown_and_ran_once(
+@pytest.mark.parametrize("fault", INVALID_RESPONSES)
+def test_unsafe_request_with_an_invalid_response_is_unknown_and_ran_once(
     fault: WorkerFault,
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, fault)
+        set_faults(world, fault)
         reply = await world.ask("entry-1", "/book/1")
         assert reply.status == 502
         assert reply.headers["briarthread-outcome"] == "unknown"
-        assert runs(world) == 1
+        assert count_runs(world) == 1
 
     in_direct_world(scenario)
 
 
-@pytest.mark.parametrize("fault", [*SPOILT, WorkerFault.OWN_ERROR])
-def test_safe_request_is_answered_whole_by_the_second_target(
+@pytest.mark.parametrize("fault", [*INVALID_RESPONSES, WorkerFault.OWN_ERROR])
+def test_safe_request_is_served_by_the_second_target(
     fault: WorkerFault,
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
-        answers = []
+        statuses = []
         for _ in range(6):
             for worker in world.workers.values():
                 worker.faults = []
             world.workers["diary-0"].faults = [fault]
-            answers.append((await world.ask("entry-1", "/list/1")).status)
-        assert answers == [200] * 6
+            statuses.append((await world.ask("entry-1", "/list/1")).status)
+        assert statuses == [200] * 6
 
     in_direct_world(scenario)
 
 
-@pytest.mark.parametrize("fault", SPOILT)
-def test_unsafe_request_that_may_have_run_goes_to_no_second_target(
+@pytest.mark.parametrize("fault", INVALID_RESPONSES)
+def test_unsafe_request_that_may_have_run_is_not_retried(
     fault: WorkerFault,
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, fault)
+        set_faults(world, fault)
         assert (await world.ask("entry-1", "/book/1")).status == 502
-        assert runs(world) == 1
+        assert count_runs(world) == 1
 
     row = build_route_row("/book/", DIARY, "unsafe", maxAttempts=3)
     in_direct_world(scenario, config=build_config(routes=[row]))
 
 
-def test_request_refused_after_it_may_have_run_is_not_called_not_run() -> None:
+def test_request_refused_after_it_may_have_run_is_not_reported_as_not_run() -> None:
     async def scenario(world: DirectWorld) -> None:
-        in_turn = [WorkerFault.LOSE_ANSWER, WorkerFault.REFUSE, WorkerFault.REFUSE]
+        faults = [WorkerFault.LOSE_ANSWER, WorkerFault.REFUSE, WorkerFault.REFUSE]
         for worker in world.workers.values():
-            worker.faults = in_turn
+            worker.faults = faults
         reply = await world.ask("entry-1", "/list/1")
         assert reply.status == 502
         assert reply.headers["briarthread-outcome"] == "unknown"
-        assert runs(world) == 1
+        assert count_runs(world) == 1
 
     in_direct_world(scenario)
 
 
-def test_unsafe_request_refused_by_its_target_is_not_run() -> None:
+def test_unsafe_request_refused_by_its_target_is_reported_as_not_run() -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, WorkerFault.REFUSE)
+        set_faults(world, WorkerFault.REFUSE)
         reply = await world.ask("entry-1", "/book/1")
-        assert (reply.status, runs(world)) == (503, 0)
+        assert (reply.status, count_runs(world)) == (503, 0)
         assert reply.headers["briarthread-outcome"] == "not-run"
         assert 0 < float(reply.headers["retry-after"]) <= 8 / 3
 
     in_direct_world(scenario)
 
 
-def test_own_error_of_a_target_keeps_its_signature() -> None:
+def test_error_response_of_a_target_keeps_its_stamp() -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, WorkerFault.OWN_ERROR)
+        set_faults(world, WorkerFault.OWN_ERROR)
         reply = await world.ask("entry-1", "/book/1")
         assert (reply.status, reply.body) == (500, b"broken")
         assert reply.headers["x-server-stamp"] == "stamp"
@@ -125,26 +127,26 @@
     in_direct_world(scenario)
 
 
-def test_silent_target_gets_a_final_answer_at_the_routes_timeout() -> None:
+def test_request_to_an_unresponsive_target_fails_at_the_routes_timeout() -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, WorkerFault.MUTE, times=2)
+        set_faults(world, WorkerFault.MUTE, times=2)
         started = anyio.current_time()
         reply = await world.ask("entry-1", "/book/1")
-        took = anyio.current_time() - started
+        elapsed = anyio.current_time() - started
         assert reply.status == 504
         assert reply.headers["briarthread-outcome"] == "unknown"
-        assert 3.9 < took < 4.25
+        assert 3.9 < elapsed < 4.25
 
     in_direct_world(scenario)
 
 
-def test_address_taken_over_by_another_target_gets_nothing_run() -> None:
+def test_request_is_not_run_by_another_target_at_the_same_address() -> None:
     async def scenario(world: DirectWorld) -> None:
         for name in ("diary-0", "diary-1", "diary-2"):
             world.workers[name].name = f"other-{name}"
         statuses = [(await world.ask("entry-1", "/book/1")).status for _ in range(3)]
         assert statuses == [503] * 3
-        assert runs(world) == 0
+        assert count_runs(world) == 0
 
     in_direct_world(scenario)
 
@@ -159,7 +161,7 @@
     in_direct_world(scenario, diaries=1)
 
 
-def test_caller_who_leaves_ends_the_work_at_the_target() -> None:
+def test_disconnect_of_the_caller_cancels_the_run_at_the_target() -> None:
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
             worker.delay = 3.0
@@ -171,16 +173,16 @@
     in_direct_world(scenario)
 
 
-def test_attempts_stay_within_the_route() -> None:
+def test_attempts_are_limited_by_the_route() -> None:
     async def scenario(world: DirectWorld) -> None:
-        all_faulty(world, WorkerFault.OWN_ERROR, times=9)
+        set_faults(world, WorkerFault.OWN_ERROR, times=9)
         await world.ask("entry-1", "/list/1")
-        assert runs(world) == 2
+        assert count_runs(world) == 2
 
     in_direct_world(scenario)
 
 
-def test_refused_connection_costs_no_attempt() -> None:
+def test_refused_connection_does_not_count_as_an_attempt() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.network.close(world.addresses["diary-0"])
         world.network.close(world.addresses["diary-1"])
@@ -190,7 +192,7 @@
     in_direct_world(scenario)
 
 
-def test_unlisted_service_is_refused_at_once() -> None:
+def test_request_for_a_service_without_targets_is_refused() -> None:
     async def scenario(world: DirectWorld) -> None:
         reply = await world.ask("entry-1", "/book/1")
         assert reply.status == 503
@@ -208,20 +210,20 @@
         ("/book/1", {"x-deadline-ms": "soon"}, 400),
     ],
 )
-def test_improper_request_is_refused_and_runs_nowhere(
+def test_invalid_request_is_refused_and_not_run(
     path: str, headers: dict[str, str], status: int
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
         reply = await world.ask("entry-1", path, headers)
-        assert (reply.status, runs(world)) == (status, 0)
+        assert (reply.status, count_runs(world)) == (status, 0)
 
     in_direct_world(scenario)
 
 
-def test_too_large_body_is_refused() -> None:
+def test_oversized_body_is_refused() -> None:
     async def scenario(world: DirectWorld) -> None:
         reply = await world.ask("entry-1", "/book/1", body=b"x" * 1001)
-        assert (reply.status, runs(world)) == (413, 0)
+        assert (reply.status, count_runs(world)) == (413, 0)
 
     in_direct_world(scenario)
 
@@ -236,14 +238,14 @@
     in_direct_world(scenario, config=build_config(routes=rows))
 
 
-def test_split_route_goes_by_weights() -> None:
+def test_split_route_distributes_requests_by_weight() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.add_worker("cards-0", "cards")
         await anyio.sleep(1)
         for _ in range(40):
             assert (await world.ask("entry-1", "/mix/1")).status == 200
-        share = world.workers["cards-0"].runs.total()
-        assert 3 <= share <= 20
+        served = world.workers["cards-0"].runs.total()
+        assert 3 <= served <= 20
 
     row = build_route_row("/mix/", DIARY, "safe")
     row["split"] = [
--- a/tests/direct/test_leaving_targets.py
+++ b/tests/direct/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""A target that announces its shutdown in its answers gets no new requests."""
+"""A target that announces its shutdown in a response gets no new requests."""
 
 import anyio
 import pytest
@@ -8,18 +8,18 @@
 from briarthread_common.direct.answer_notice import read_notice
 from briarthread_standins.direct_world import DirectWorld
 
-LIST = "/list/1"
-STREAM = {"x-token-count": "800,100"}
+LIST_PATH = "/list/1"
+STREAM_SIZE = {"x-token-count": "800,100"}
 REPORT_SECONDS = 1.0
-"""Time within which entries receive each other's reports."""
+"""Time in seconds within which entries receive each other's reports."""
 
 
 async def ask_list(world: DirectWorld, entry: str = "entry-1") -> None:
-    reply = await world.ask(entry, LIST, method="GET", body=None)
+    reply = await world.ask(entry, LIST_PATH, method="GET", body=None)
     assert reply.status == 200
 
 
-async def ask_at_once(world: DirectWorld, entry: str, times: int) -> None:
+async def ask_concurrently(world: DirectWorld, entry: str, times: int) -> None:
     """Send concurrent requests, which are spread over the targets."""
     async with anyio.create_task_group() as tasks:
         for _ in range(times):
@@ -30,28 +30,28 @@
     async def scenario(world: DirectWorld) -> None:
         leaving = world.workers["diary-0"]
         leaving.leaving = "1"
-        await ask_at_once(world, "entry-1", 12)
+        await ask_concurrently(world, "entry-1", 12)
         assert leaving.arrivals
         before = len(leaving.arrivals)
         await anyio.sleep(0.1)
-        await ask_at_once(world, "entry-1", 30)
+        await ask_concurrently(world, "entry-1", 30)
         assert len(leaving.arrivals) == before
 
     in_direct_world(scenario, ranks=0)
 
 
-# Guards against a list row that still says "ready" cancelling the announcement.
+# Guards against a list row with the state "ready" that cancels the announcement.
 def test_announced_shutdown_holds_while_the_store_is_unreachable() -> None:
     async def scenario(world: DirectWorld) -> None:
         leaving = world.workers["diary-0"]
         leaving.leaving = "1"
         world.network.cut("palermo", "store")
-        await ask_at_once(world, "entry-1", 12)
+        await ask_concurrently(world, "entry-1", 12)
         before = len(leaving.arrivals)
         world.network.heal()
         world.list_worker("diary-0", DIARY)
         await anyio.sleep(4.0)
-        await ask_at_once(world, "entry-1", 30)
+        await ask_concurrently(world, "entry-1", 30)
         assert len(leaving.arrivals) == before > 0
 
     in_direct_world(scenario, ranks=0)
@@ -61,16 +61,16 @@
     async def scenario(world: DirectWorld) -> None:
         leaving = world.workers["diary-0"]
         leaving.leaving = "1"
-        await ask_at_once(world, "entry-1", 12)
+        await ask_concurrently(world, "entry-1", 12)
         before = len(leaving.arrivals)
         await anyio.sleep(REPORT_SECONDS)
-        await ask_at_once(world, "entry-2", 30)
+        await ask_concurrently(world, "entry-2", 30)
         assert len(leaving.arrivals) == before > 0
 
     in_direct_world(scenario, ("entry-1", "entry-2"), ranks=0)
 
 
-# Guards against reading the announcement only after the whole body.
+# Guards against reading the announcement only after the complete body.
 def test_shutdown_is_noted_before_the_announcing_stream_ends() -> None:
     async def scenario(world: DirectWorld) -> None:
         rank = world.workers["rank-0"]
@@ -81,12 +81,12 @@
         replies = []
 
         async def follow() -> None:
-            replies.append(await world.ask("entry-1", "/chat/1", STREAM))
+            replies.append(await world.ask("entry-1", "/chat/1", STREAM_SIZE))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(follow)
             await anyio.sleep(0.5)
-            refused = await world.ask("entry-1", "/chat/1", STREAM)
+            refused = await world.ask("entry-1", "/chat/1", STREAM_SIZE)
             assert refused.status == 503
         assert replies[0].event_ids == list(range(1, 26))
         assert len(rank.arrivals) == 1
@@ -94,13 +94,13 @@
     in_direct_world(scenario)
 
 
-# Guards against an announcement that outlasts the removal from the list.
+# Guards against an announcement that outlasts the removal of the target.
 def test_target_is_used_again_after_it_was_removed_and_listed_again() -> None:
     async def scenario(world: DirectWorld) -> None:
         worker = world.workers["diary-0"]
         worker.leaving = "1"
         await ask_list(world)
-        reply = await world.ask("entry-1", LIST, method="GET", body=None)
+        reply = await world.ask("entry-1", LIST_PATH, method="GET", body=None)
         assert reply.status == 503
         world.store.drop("servers", "diary-0")
         await anyio.sleep(3.0)
@@ -137,7 +137,7 @@
     async def scenario(world: DirectWorld) -> None:
         other = world.workers["diary-0"]
         other.name, other.leaving = "diary-9", "1"
-        await world.ask("entry-1", LIST, method="GET", body=None)
+        await world.ask("entry-1", LIST_PATH, method="GET", body=None)
         assert world.entries["entry-1"].leaving_targets.own == set()
 
     in_direct_world(scenario, ranks=0, diaries=1)
--- a/tests/direct/test_left_out.py
+++ b/tests/direct/test_left_out.py
@@ -1,4 +1,4 @@
-"""Leaving a mechanism out is confined to its play."""
+"""Disabling a mechanism affects only the simulation that disables it."""
 
 import pytest
 
@@ -10,8 +10,8 @@
 SHORT = LoadDay(rate=40.0, seconds=1.0, outage_at=0.3, outage_seconds=0.3)
 
 
-def shipped() -> list[object]:
-    """Return what the variants replace."""
+def current_values() -> list[object]:
+    """Return the values that the variants replace."""
     return [
         admission_rule.YIELDED_SHARE,
         admission_rule.spread_return,
@@ -22,15 +22,15 @@
 
 
 @pytest.mark.parametrize("variant", VARIANTS, ids=lambda variant: variant.name)
-def test_variant_plays_and_leaves_the_code_as_it_was(variant: LeftOut) -> None:
-    before = shipped()
+def test_variant_runs_and_restores_the_code(variant: LeftOut) -> None:
+    before = current_values()
     with variant.applied():
-        assert (shipped() != before) == bool(variant.patches)
+        assert (current_values() != before) == bool(variant.patches)
         tally = play_load(SHORT, variant.prepare)
-    assert shipped() == before
+    assert current_values() == before
     assert tally.asked > 20
     assert tally.in_time + tally.late + tally.refused_twice + tally.lost == tally.asked
 
 
-def test_variants_have_names_of_their_own() -> None:
+def test_variants_have_unique_names() -> None:
     assert len({variant.name for variant in VARIANTS}) == len(VARIANTS)
--- a/tests/direct/test_slow_ranks.py
+++ b/tests/direct/test_slow_ranks.py
@@ -1,4 +1,4 @@
-"""Streams go on at another rank when their own turns slow."""
+"""Streams continue on another rank when their own becomes slow."""
 
 import anyio
 from direct_builders import MODEL, build_direct_request, in_direct_world
@@ -10,19 +10,19 @@
 from briarthread_standins.direct_world import DirectWorld, Reply
 
 SIZE = {"x-token-count": "100,200"}
-CHAT = "/chat/1"
+STREAM_PATH = "/chat/1"
 
 
 def report_slow(world: DirectWorld, name: str, factor: float) -> None:
-    """Tell the entry that a rank is slow, as its group's agent does."""
+    """Report a slow rank to the entry, as an agent of its group does."""
     host = world.addresses[name].rpartition(":")[0]
     report = GroupReport(True, {host: factor})
     entry = world.entries["entry-1"]
     entry.groups.put(GroupId(MODEL), report, anyio.current_time())
 
 
-def runs(world: DirectWorld, request: str) -> dict[str, int]:
-    """Return how often each rank ran a request."""
+def runs_by_rank(world: DirectWorld, request: str) -> dict[str, int]:
+    """Return the number of runs of a request on each rank."""
     return {
         name: worker.runs[request]
         for name, worker in world.workers.items()
@@ -31,11 +31,11 @@
 
 
 async def stream_until_slow(world: DirectWorld, factor: float) -> tuple[Reply, dict]:
-    """Start a stream, let its rank turn slow, return the answer and the runs."""
+    """Start a stream, slow its rank down and return the reply and the runs."""
     replies: list[Reply] = []
 
     async def ask() -> None:
-        replies.append(await world.ask("entry-1", CHAT, SIZE))
+        replies.append(await world.ask("entry-1", STREAM_PATH, SIZE))
 
     for worker in world.workers.values():
         worker.event_pause, worker.pieces = 0.1, 20
@@ -43,14 +43,16 @@
         tasks.start_soon(ask)
         await anyio.sleep(0.85)
         request = f"request-{world.requests}"
-        (first,) = runs(world, request)
+        (first,) = runs_by_rank(world, request)
         for _ in range(8):
             report_slow(world, first, factor)
             await anyio.sleep(0.2)
-    return replies[0], runs(world, request)
+    return replies[0], runs_by_rank(world, request)
 
 
-def test_stream_on_a_rank_that_turns_slow_goes_on_at_another_without_a_gap() -> None:
+def test_stream_on_a_rank_that_becomes_slow_continues_on_another_without_a_gap() -> (
+    None
+):
     async def scenario(world: DirectWorld) -> None:
         reply, ran = await stream_until_slow(world, factor=5.0)
         assert reply.status == 200
@@ -61,7 +63,7 @@
     in_direct_world(scenario)
 
 
-def test_stream_stays_on_a_rank_that_is_a_little_slower() -> None:
+def test_stream_stays_on_a_slightly_slower_rank() -> None:
     async def scenario(world: DirectWorld) -> None:
         reply, ran = await stream_until_slow(world, factor=1.8)
         assert reply.event_ids == list(range(1, 21))
@@ -70,7 +72,7 @@
     in_direct_world(scenario)
 
 
-def test_stream_stays_where_the_retry_budget_is_used_up() -> None:
+def test_stream_stays_on_its_rank_when_the_retry_budget_is_used_up() -> None:
     async def scenario(world: DirectWorld) -> None:
         budget = world.entries["entry-1"].budget
         while budget.spend(MODEL, anyio.current_time()):
@@ -82,21 +84,21 @@
     in_direct_world(scenario)
 
 
-def test_new_streams_go_to_other_ranks() -> None:
+def test_new_streams_avoid_a_slow_rank() -> None:
     async def scenario(world: DirectWorld) -> None:
         report_slow(world, "rank-0", 5.0)
         for _ in range(12):
             report_slow(world, "rank-0", 5.0)
-            assert (await world.ask("entry-1", CHAT, SIZE)).status == 200
+            assert (await world.ask("entry-1", STREAM_PATH, SIZE)).status == 200
         assert sum(world.workers["rank-0"].runs.values()) == 0
 
     in_direct_world(scenario)
 
 
-def test_streams_that_were_served_are_noted_as_such() -> None:
+def test_served_streams_are_recorded_in_the_event_log() -> None:
     async def scenario(world: DirectWorld) -> None:
         for _ in range(10):
-            assert (await world.ask("entry-1", CHAT, SIZE)).status == 200
+            assert (await world.ask("entry-1", STREAM_PATH, SIZE)).status == 200
         await anyio.sleep(1)
         events = world.entries["entry-1"].events.ring
         assert sum(event.decision == "request-served" for event in events) == 10
@@ -104,7 +106,7 @@
     in_direct_world(scenario)
 
 
-def test_room_counts_the_ranks_in_use_though_an_event_just_counted_all() -> None:
+def test_capacity_excludes_slow_ranks_despite_a_recent_count_of_all_ranks() -> None:
     async def scenario(world: DirectWorld) -> None:
         entry = world.entries["entry-1"]
         report_slow(world, "rank-0", 4.0)
--- a/tests/direct/test_target_backoffs.py
+++ b/tests/direct/test_target_backoffs.py
@@ -1,4 +1,4 @@
-"""Entries honour the Retry-After of a target's 503."""
+"""Entries honour the Retry-After of a target's 503 response."""
 
 from dataclasses import replace
 
@@ -15,12 +15,12 @@
 from briarthread_standins.play_limits import play_limits
 
 MAX_EARLY_REQUESTS = 2
-"""Requests that a target may get from one entry within a backoff."""
-REFUSED_AT = 4.0
+"""Maximum number of requests that a target may get from one entry during a backoff."""
+REFUSAL_START_SECONDS = 4.0
 
 
 def refusal_steps(targets: int, seconds: float = 8.0) -> tuple[RefusalStep, ...]:
-    return (RefusalStep(REFUSED_AT, seconds, targets),)
+    return (RefusalStep(REFUSAL_START_SECONDS, seconds, targets),)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -33,7 +33,7 @@
     ],
     ids=["four-ranks-of-twelve", "all-ranks", "plain"],
 )
-def test_target_gets_no_requests_within_the_pause_that_it_asked_for(
+def test_target_gets_no_requests_during_its_requested_backoff(
     day: LimitDay, seed: int
 ) -> None:
     tally = play_limits(replace(day, seed=seed))
@@ -41,7 +41,7 @@
     assert tally.max_early_requests() <= MAX_EARLY_REQUESTS
 
 
-def test_callers_are_served_by_the_other_ranks_meanwhile() -> None:
+def test_callers_are_served_by_other_ranks_during_a_backoff() -> None:
     day = LimitDay(rate=30.0, steps=refusal_steps(4))
     tally = play_limits(day)
     assert set(tally.statuses) <= {200, 503}
@@ -52,7 +52,7 @@
     tally = play_limits(
         LimitDay(targets=4, rate=30.0, steps=refusal_steps(1, seconds=1.0))
     )
-    assert tally.a_second(0, REFUSED_AT + 5.0, 24.0) >= 0.7 * 30.0 / 4
+    assert tally.a_second(0, REFUSAL_START_SECONDS + 5.0, 24.0) >= 0.7 * 30.0 / 4
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
 def test_refused_caller_is_told_when_the_first_backoff_ends() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
-        for number, worker in enumerate(diaries(world)):
+        for number, worker in enumerate(diary_workers(world)):
             worker.refusals.refuse(now, now + 60.0, 20.0 + number)
         for _ in range(4):
             await world.ask("entry-1", "/list/1", method="GET", body=None)
@@ -88,10 +88,10 @@
     in_direct_world(scenario, ranks=0)
 
 
-def test_request_waits_for_a_backoff_that_ends_in_time() -> None:
+def test_request_waits_for_a_backoff_that_ends_within_its_time_limit() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
-        for worker in diaries(world):
+        for worker in diary_workers(world):
             worker.refusals.refuse(now, now + 0.05, 0.2)
         for _ in range(3):
             await world.ask("entry-1", "/list/1", method="GET", body=None)
@@ -102,7 +102,7 @@
     in_direct_world(scenario, ranks=0)
 
 
-def test_target_that_requests_a_backoff_is_neither_failing_nor_broken() -> None:
+def test_requested_backoff_counts_neither_as_a_failure_nor_as_a_broken_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
         for worker in world.workers.values():
@@ -118,7 +118,7 @@
     in_direct_world(scenario)
 
 
-def test_backoff_outlasts_a_new_row_and_an_absence_from_the_list() -> None:
+def test_backoff_outlasts_the_removal_and_new_listing_of_its_target() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
         refusals = world.workers["diary-0"].refusals
@@ -135,7 +135,7 @@
     in_direct_world(scenario, ranks=0, diaries=1)
 
 
-def test_no_limit_token_is_taken_for_a_target_that_backs_off() -> None:
+def test_no_limit_token_is_acquired_for_a_target_in_backoff() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
         worker = world.workers["diary-0"]
@@ -165,7 +165,7 @@
     in_direct_world(scenario, ranks=0, diaries=1)
 
 
-def diaries(world: DirectWorld) -> list[DirectWorker]:
+def diary_workers(world: DirectWorld) -> list[DirectWorker]:
     return [w for name, w in world.workers.items() if name.startswith("diary")]
 
 
--- a/tests/direct/test_target_limits.py
+++ b/tests/direct/test_target_limits.py
@@ -1,4 +1,4 @@
-"""How many requests a target that names a limit gets from all entries together."""
+"""Compliance of all entries together with the rate limits that targets state."""
 
 import pytest
 from hypothesis import given, settings
@@ -11,82 +11,79 @@
 from briarthread_standins.play_limits import play_limits
 
 STABLE_SECONDS = 3.0
-"""Time after the first word on a limit from which on it has to be kept."""
-NAMED_AT = 3.0
+"""Time in seconds after a limit is first stated until it must be observed."""
+LIMIT_START_SECONDS = 3.0
 LIMITS = ["1", "2.5", "6"]
 
 
-def within(tally: LimitTally, limit: float, targets: int = 1) -> None:
-    """Check that none of the first targets got more than its limit allows."""
-    since = NAMED_AT + STABLE_SECONDS
-    most = max(tally.most(target, since) for target in range(targets))
-    assert 0 < most <= allowed(limit)
+def check_limit(tally: LimitTally, limit: float, targets: int = 1) -> None:
+    """Check that none of the first ``targets`` got more than its limit allows."""
+    since = LIMIT_START_SECONDS + STABLE_SECONDS
+    highest = max(tally.most(target, since) for target in range(targets))
+    assert 0 < highest <= allowed(limit)
 
 
-def in_need(limit: str, targets: int = 1) -> tuple[LimitStep, ...]:
-    return (LimitStep(NAMED_AT, limit, targets),)
+def limit_steps(limit: str, targets: int = 1) -> tuple[LimitStep, ...]:
+    return (LimitStep(LIMIT_START_SECONDS, limit, targets),)
 
 
 @pytest.mark.parametrize(("rate", "seed"), [(28.0, 1), (45.0, 1), (45.0, 2)])
-def test_rank_in_need_gets_no_more_than_the_limit_that_it_names(
-    rate: float, seed: int
-) -> None:
+def test_rank_gets_no_more_than_its_stated_limit(rate: float, seed: int) -> None:
     """
-    A rank of twelve names a limit of one request a second in its answers.
-
-    Users saw it get 12 requests within four seconds, half a minute and more after its
-    first word, where 11 are allowed; nobody else noticed. Nine entries served
-    28 requests a second without any fault, an alert or a repeat. Nothing read the
-    limit: each entry's log told of it as soon as there was a line for it, and the
-    rank's requests went on as before, one in twelve of all. So each rank that names a
-    low limit exceeds it sooner or later, by chance.
+    One of twelve ranks states a limit of one request per second in its responses.
+
+    Guards against entries that ignore the limit. A rank with such a limit then still
+    gets one in twelve of all requests and exceeds a low limit sooner or later by
+    chance. With nine entries and 28 requests per second, which were served without
+    errors, alerts or retries, the rank got 12 requests within four seconds, more than
+    half a minute after it first stated the limit; 11 are allowed.
     """
     tally = play_limits(
-        LimitDay(rate=rate, steps=in_need("1"), seconds=24.0, seed=seed)
+        LimitDay(rate=rate, steps=limit_steps("1"), seconds=24.0, seed=seed)
     )
     assert set(tally.statuses) == {200}
-    within(tally, 1.0)
+    check_limit(tally, 1.0)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
-def test_rank_in_need_gets_most_of_what_it_offers(limit: str) -> None:
-    day = LimitDay(targets=4, rate=36.0, steps=in_need(limit), seconds=18.0)
+def test_rank_gets_most_of_its_stated_limit(limit: str) -> None:
+    day = LimitDay(targets=4, rate=36.0, steps=limit_steps(limit), seconds=18.0)
     tally = play_limits(day)
-    within(tally, float(limit))
-    got = tally.a_second(0, NAMED_AT + STABLE_SECONDS, 18.0)
-    assert got >= 0.8 * float(limit)
+    check_limit(tally, float(limit))
+    rate = tally.a_second(0, LIMIT_START_SECONDS + STABLE_SECONDS, 18.0)
+    assert rate >= 0.8 * float(limit)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("trouble", ["restarted", "cut_off"])
-def test_limit_holds_while_the_entry_that_deals_it_is_away(
+def test_limit_is_observed_while_its_token_issuer_is_unreachable(
     trouble: str, limit: str
 ) -> None:
-    """The second in line deals half meanwhile, and the first starts with nothing."""
+    """The second issuer issues half meanwhile; a restarted one has an empty bucket."""
     day = LimitDay(
         targets=4,
         rate=36.0,
         seconds=18.0,
-        steps=in_need(limit),
+        steps=limit_steps(limit),
         trouble_at=9.0,
         **{trouble: True},
     )
     tally = play_limits(day)
-    within(tally, float(limit))
+    check_limit(tally, float(limit))
     assert tally.a_second(0, 10.0, 13.0) >= 0.3 * float(limit)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
-def test_callers_are_refused_at_once_where_all_targets_are_at_their_limits(
+def test_callers_are_refused_at_once_if_all_targets_are_at_their_limits(
     limit: str,
 ) -> None:
-    """Three plain targets get a third more than they take together."""
+    """Three plain targets get a third more requests than they accept together."""
     rate = 4 * float(limit)
     day = LimitDay(
-        targets=3, service=DIARY, rate=rate, steps=in_need(limit, 3), seconds=18.0
+        targets=3, service=DIARY, rate=rate, steps=limit_steps(limit, 3), seconds=18.0
     )
     tally = play_limits(day)
-    within(tally, float(limit), targets=3)
+    check_limit(tally, float(limit), targets=3)
     assert set(tally.statuses) == {200, 503}
     assert tally.slowest_refusal <= 0.25
     assert min(tally.waits) > 0
@@ -95,15 +92,15 @@
     assert served >= 0.8 * 3 * float(limit)
 
 
-def test_ranks_that_all_name_limits_are_no_broken_group() -> None:
-    day = LimitDay(targets=4, rate=12.0, steps=in_need("2", 4))
+def test_group_whose_ranks_all_state_limits_is_not_broken() -> None:
+    day = LimitDay(targets=4, rate=12.0, steps=limit_steps("2", 4))
     tally = play_limits(day)
-    within(tally, 2.0, targets=4)
+    check_limit(tally, 2.0, targets=4)
     served = sum(tally.a_second(target, 6.0, 24.0) for target in range(4))
     assert served >= 0.75 * 4 * 2.0
 
 
-def test_limit_that_moves_ends_and_comes_again_is_followed() -> None:
+def test_changed_ended_and_restored_limit_is_observed() -> None:
     steps = [(3.0, "1"), (9.0, "4"), (15.0, None), (21.0, "1")]
     day = LimitDay(
         targets=4,
@@ -119,7 +116,7 @@
     assert tally.most(0, 24.0) <= allowed(1.0)
 
 
-def test_limit_is_known_to_an_entry_that_never_sent_there() -> None:
+def test_limit_is_known_to_an_entry_without_requests_to_the_target() -> None:
     limits, others = TargetLimits(), TargetLimits()
     limits.note_response("t", "2", sent=1.0, now=1.1)
     others.merge("entry-2", limits.report(now=1.5), now=7.5)
@@ -129,7 +126,7 @@
     assert others.limit_of("t") is None
 
 
-def test_word_of_one_that_was_cut_off_does_not_bring_an_ended_limit_back() -> None:
+def test_report_of_an_entry_that_was_cut_off_does_not_restore_an_ended_limit() -> None:
     limits, cut_off = TargetLimits(), TargetLimits()
     cut_off.note_response("t", "2", sent=1.0, now=1.1)
     limits.merge("entry-2", cut_off.report(now=1.2), now=1.2)
@@ -138,7 +135,7 @@
     assert limits.limit_of("t") is None
 
 
-def test_answer_to_an_earlier_request_does_not_end_a_limit() -> None:
+def test_response_to_an_earlier_request_does_not_end_a_limit() -> None:
     limits = TargetLimits()
     limits.note_response("t", "2", sent=1.0, now=1.2)
     limits.note_response("t", None, sent=1.1, now=3.0)
@@ -146,7 +143,7 @@
 
 
 @pytest.mark.parametrize("raw", ["", "x", "0", "-1", "nan", "-inf", "1;2", "1,,2"])
-def test_limit_that_is_no_number_above_zero_changes_nothing(raw: str) -> None:
+def test_limit_that_is_not_a_positive_number_is_ignored(raw: str) -> None:
     limits = TargetLimits()
     limits.note_response("t", raw, sent=1.0, now=1.1)
     assert limits.limit_of("t") is None
@@ -156,7 +153,7 @@
 
 
 @pytest.mark.parametrize("raw", ["inf", "1e300", "9" * 5000])
-def test_huge_limit_bounds_nothing(raw: str) -> None:
+def test_huge_limit_means_no_limit(raw: str) -> None:
     limits = TargetLimits()
     limits.note_response("t", raw, sent=1.0, now=1.1)
     assert limits.limit_of("t") is None
@@ -164,7 +161,7 @@
 
 @given(st.text(max_size=60))
 @settings(max_examples=2000, derandomize=True, deadline=None)
-def test_any_text_for_a_limit_is_taken_or_left(raw: str) -> None:
+def test_any_limit_text_gives_a_positive_limit_or_none(raw: str) -> None:
     limits = TargetLimits()
     limits.note_response("t", raw, sent=1.0, now=1.1)
     limit = limits.limit_of("t")
