--- a/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -3,7 +3,7 @@
 import anyio
 
 from briarthread_common.core.event_log import EventLog
-from briarthread_common.direct.answer_notice import SERVICE_UNAVAILABLE
+from briarthread_common.direct.response_signals import SERVICE_UNAVAILABLE
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
     NotRun,
@@ -14,7 +14,7 @@
 )
 from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_state import DirectTargetState
 
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        rooms: GroupRooms,
+        rooms: GroupCapacityTracker,
         crashes: CrashTracker,
         backoffs: TargetBackoffs,
         events: EventLog,
@@ -143,7 +143,7 @@
         self._note_attempt_failed(request, state, reason)
         state.replaced = state.replaced or refusal.replaced
         if refusal.faulty_rank:
-            group = self.rooms.roster.of(state.target)
+            group = self.rooms.membership.group_of(state.target)
             self.rooms.note_refused(group, refusal.faulty_rank)
 
 
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -60,7 +60,7 @@
         account = self._account(headers, route, routes)
         body = await self._read_body(call, headers, routes)
         service = routes.services[self._choose_service(route)]
-        prompt, answer = _size(headers.get(self.names.size, ""))
+        prompt, answer = _size(headers.get(self.names.token_counts, ""))
         patience = self._patience(headers)
         timeout = route.timeout
         priority = route.priority if account.priority is None else account.priority
@@ -77,10 +77,10 @@
             arrived=arrived,
             deadline=arrived
             + (timeout if patience is None else min(patience, timeout)),
-            patience=patience,
+            caller_timeout=patience,
             prompt_tokens=prompt,
             answer_tokens=answer,
-            resumes_after=_event_id(headers.get(self.names.resume_from)),
+            last_event_id=_event_id(headers.get(self.names.resume_from)),
             digest=request_digest(account.name, call.method, call.raw_target, body),
         )
 
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -10,10 +10,10 @@
 from briarthread_entry.direct.choose_target import choose_plain, choose_rank
 from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
-from briarthread_entry.direct.group_gate import LONGEST_WAIT
-from briarthread_entry.direct.group_rooms import GroupRooms
+from briarthread_entry.direct.group_admission import MAX_WAIT_SECONDS
+from briarthread_entry.direct.group_capacity import GroupCapacityTracker
 from briarthread_entry.direct.limit_tokens import LimitTokens
-from briarthread_entry.direct.running_board import RunningBoard
+from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
 from briarthread_entry.direct.target_registry import TargetRegistry
@@ -40,8 +40,8 @@
         self,
         data_centre: str,
         registry: TargetRegistry,
-        board: RunningBoard,
-        rooms: GroupRooms,
+        board: PeerReports,
+        rooms: GroupCapacityTracker,
         slow_ranks: SlowRanks,
         assigned_slots: AssignedSlots,
         tokens: LimitTokens,
@@ -125,14 +125,14 @@
         preferred = [
             state
             for state in states
-            if not self.board.backing_off(state.target.name, now)
+            if not self.board.is_backing_off(state.target.name, now)
             and self._total_running(state, now) < state.target.slots
         ]
         return preferred or states
 
     def _total_running(self, state: DirectTargetState, now: float) -> int:
         """Return the number of attempts that all entries are running at a target."""
-        return state.running + self.board.elsewhere(state.target.name, now)
+        return state.running + self.board.running_elsewhere(state.target.name, now)
 
     async def _wait(
         self, states: list[DirectTargetState], now: float, wait_left: float
@@ -160,8 +160,8 @@
         return self.registry.accepts_requests(state) and opens_at <= now
 
     def _wait_deadline(self, request: DirectRequest) -> float:
-        max_wait = request.route.aim * MAX_WAIT_SHARE
-        return request.arrived + min(max_wait, LONGEST_WAIT)
+        max_wait = request.route.slo * MAX_WAIT_SHARE
+        return request.arrived + min(max_wait, MAX_WAIT_SECONDS)
 
     def _candidates(
         self,
@@ -184,7 +184,7 @@
         service = request.service.name
 
         def elsewhere(name: str) -> int:
-            return self.board.elsewhere(name, now)
+            return self.board.running_elsewhere(name, now)
 
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
@@ -212,5 +212,5 @@
         """Return the ranks in the given groups, or all ranks if none is in them."""
         if groups is None:
             return states
-        group_of = self.rooms.roster.of
+        group_of = self.rooms.membership.group_of
         return [state for state in states if group_of(state.target) in groups] or states
--- a/packages/entry/src/briarthread_entry/direct/target_registry.py
+++ b/packages/entry/src/briarthread_entry/direct/target_registry.py
@@ -48,7 +48,7 @@
         while True:
             number = self.feed.number
             self.refresh(anyio.current_time())
-            await self.feed.wait_beyond(number)
+            await self.feed.wait_for_newer(number)
 
     def available_targets(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the targets of a service that accept new requests."""
--- a/packages/entry/src/briarthread_entry/routing/target_state.py
+++ b/packages/entry/src/briarthread_entry/routing/target_state.py
@@ -1,31 +1,33 @@
-"""What an entry knows of one target."""
+"""An entry's state of one target."""
 
 from dataclasses import dataclass
 
 from briarthread_common.messages.instance import Instance
 from briarthread_common.messages.load_report import LoadReport
 
-EJECT_AFTER = 3
-"""Failures in a row after which a target is left out for a while."""
-EJECT_SECONDS = 5.0
-MAX_EJECT_SECONDS = 60.0
+EJECTION_FAILURES = 3
+"""Consecutive failures after which a target is ejected for some time."""
+BASE_EJECTION_SECONDS = 5.0
+"""Duration of the first ejection; it doubles with each further one."""
+MAX_EJECTION_SECONDS = 60.0
 SLOW_START_SECONDS = 5.0
-FIRST_SERVICE_MS = 20.0
+INITIAL_SERVICE_MS = 20.0
+"""Service time assumed while the reports state none."""
 
 
 @dataclass(slots=True, eq=False)
 class TargetState:
     """
-    Hold the last report of a target and what was sent to it since.
+    Hold the last report of a target and the number of attempts sent since.
 
-    ``incarnation`` is empty until the agent has said who it is. The target's
-    backoff lasts until ``backoff_until``. Times are Unix seconds.
+    ``incarnation`` is empty until the agent's first report. The target's backoff
+    lasts until ``backoff_until``. Times are Unix seconds.
     """
 
     instance: Instance
     incarnation: str = ""
     report: LoadReport | None = None
-    sent_since: int = 0
+    sent_since_report: int = 0
     connected: bool = False
     up_since: float = 0.0
     failures: int = 0
@@ -33,8 +35,8 @@
     ejected_until: float = 0.0
     backoff_until: float = 0.0
 
-    def take_report(self, report: LoadReport, now: float) -> bool:
-        """Take a report unless a newer one is known; tell if it was taken."""
+    def apply_report(self, report: LoadReport, now: float) -> bool:
+        """Apply a report unless a newer one is known; return whether it was applied."""
         if report.i != self.incarnation:
             self.incarnation = report.i
             self.report = None
@@ -44,27 +46,29 @@
             return False
         self.report = report
         self.backoff_until = now + report.b
-        self.sent_since = 0
+        self.sent_since_report = 0
         return True
 
     def note_success(self) -> None:
-        """Forget earlier failures."""
+        """Record a success, which resets failures and ejections."""
         self.failures = 0
         self.ejections = 0
 
     def note_failure(self, now: float) -> bool:
-        """Count a failure; tell whether it ejects the target."""
+        """Record a failure; return whether it ejects the target."""
         self.failures += 1
-        if self.failures < EJECT_AFTER:
+        if self.failures < EJECTION_FAILURES:
             return False
         self.failures = 0
         self.ejections += 1
-        pause = min(EJECT_SECONDS * 2 ** (self.ejections - 1), MAX_EJECT_SECONDS)
+        pause = min(
+            BASE_EJECTION_SECONDS * 2 ** (self.ejections - 1), MAX_EJECTION_SECONDS
+        )
         self.ejected_until = now + pause
         return True
 
     def usable(self, now: float) -> bool:
-        """Tell whether new attempts may go there."""
+        """Return whether new attempts may be sent to the target."""
         return (
             self.connected
             and self.report is not None
@@ -77,15 +81,15 @@
         """
         Return the milliseconds that one more attempt is expected to take.
 
-        It is the reported load and what was sent since, over the measured
-        rate. A target just up counts as slower at first, so that it is not
-        flooded on the ground of an empty report.
+        They follow from the reported load, the attempts sent since and the measured
+        service time. A target that has just come up counts as slower at first, so that
+        it is not flooded because of an empty report.
         """
         report = self.report
         if report is None:
             return float("inf")
-        service_ms = report.m or FIRST_SERVICE_MS
-        ahead = report.r + report.q + self.sent_since
+        service_ms = report.m or INITIAL_SERVICE_MS
+        ahead = report.r + report.q + self.sent_since_report
         expected = service_ms * (1 + ahead / max(report.s, 1))
         age = now - self.up_since
         if age < SLOW_START_SECONDS:
