--- a/packages/agent/src/briarthread_agent/agent.py
+++ b/packages/agent/src/briarthread_agent/agent.py
@@ -20,7 +20,7 @@
 from briarthread_agent.maps.engine_client import EngineClient
 from briarthread_agent.maps.group_peers import GroupPeers
 from briarthread_agent.maps.map_handlers import MapHandlers
-from briarthread_agent.maps.map_keeper import MapKeeper
+from briarthread_agent.maps.map_participant import MapParticipant
 from briarthread_agent.reports.load_reporter import LoadReporter
 from briarthread_agent.settings import AgentSettings
 from briarthread_common.core.event_log import EventLog
@@ -118,7 +118,7 @@
             runner, self.reporter, self.text, settings.service, self.metrics
         )
         epoch = int(clock.now() * MILLISECONDS)
-        self.maps = MapKeeper(
+        self.maps = MapParticipant(
             settings.name,
             self.incarnation,
             EngineClient(channel, settings.target, epoch),
--- a/packages/agent/src/briarthread_agent/maps/engine_client.py
+++ b/packages/agent/src/briarthread_agent/maps/engine_client.py
@@ -14,9 +14,9 @@
 from briarthread_common.messages.expert_map import ExpertMap
 from briarthread_common.messages.map_report import ENGINE_REPORT_PATH, MapReport
 
-ORDER_TIMEOUT = 2.0
+ORDER_TIMEOUT_SECONDS = 2.0
 """Seconds within which an order arrives or never does."""
-STAGE_TIMEOUT = 120.0
+STAGE_TIMEOUT_SECONDS = 120.0
 
 
 class EngineClient:
@@ -42,7 +42,7 @@
             STATE_PATH,
             None,
             EngineState,
-            ORDER_TIMEOUT,
+            ORDER_TIMEOUT_SECONDS,
         )
 
     async def report(self) -> MapReport:
@@ -54,7 +54,7 @@
             ENGINE_REPORT_PATH,
             None,
             MapReport,
-            ORDER_TIMEOUT,
+            ORDER_TIMEOUT_SECONDS,
         )
 
     async def order(
@@ -79,7 +79,9 @@
             scheduled,
             expert_map,
         )
-        timeout = STAGE_TIMEOUT if kind is OrderKind.STAGE else ORDER_TIMEOUT
+        timeout = (
+            STAGE_TIMEOUT_SECONDS if kind is OrderKind.STAGE else ORDER_TIMEOUT_SECONDS
+        )
         answer = await call_json(
             self.channel,
             self.address,
--- a/packages/agent/src/briarthread_agent/maps/group_peers.py
+++ b/packages/agent/src/briarthread_agent/maps/group_peers.py
@@ -16,7 +16,7 @@
 from briarthread_common.text.group import Group
 
 T = TypeVar("T")
-ASK_TIMEOUT = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 class GroupPeers:
@@ -50,6 +50,6 @@
             path,
             {address: message for address in addresses if address},
             answer_type,
-            ASK_TIMEOUT,
+            CALL_TIMEOUT_SECONDS,
         )
         return [answers.get(address) for address in addresses]
--- a/packages/agent/src/briarthread_agent/maps/map_handlers.py
+++ b/packages/agent/src/briarthread_agent/maps/map_handlers.py
@@ -1,6 +1,6 @@
 """What planners and other agents ask of the agent about its map."""
 
-from briarthread_agent.maps.map_keeper import MapKeeper, Stage
+from briarthread_agent.maps.map_participant import Decision, MapParticipant
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import ChannelError, RequestError
 from briarthread_common.http.app import Route
@@ -28,14 +28,14 @@
 
 class MapHandlers:
     """
-    Answer the calls about maps on behalf of a keeper.
+    Answer the calls about maps on behalf of a participant.
 
     Announcements, confirmations and verdicts are taken one at a time, since
     each of them decides what the next one may be told.
     """
 
-    def __init__(self, keeper: MapKeeper) -> None:
-        self.keeper = keeper
+    def __init__(self, participant: MapParticipant) -> None:
+        self.participant = participant
 
     def routes(self) -> list[Route]:
         """Return the routes that planners and other agents call."""
@@ -60,38 +60,41 @@
 
     async def _handle_announce(self, call: Call) -> None:
         message = await call.read_json(AnnounceMap, MAX_MESSAGE_BYTES)
-        async with self.keeper.deciding:
+        async with self.participant.decision_lock:
             self._check_incarnation(message.incarnation)
-            if self.keeper.pending or message.version in self.keeper.refused:
+            if (
+                self.participant.pending_version
+                or message.version in self.participant.refused_versions
+            ):
                 await call.reply_json(MapAnswer(False, 0, "another is pending"))
                 return
             self._check_fence(message.fence)
-            self.keeper.pending = message.version
-            self.keeper.stage = Stage.ANNOUNCED
+            self.participant.pending_version = message.version
+            self.participant.decision = Decision.ANNOUNCED
             answer = await self._order(
                 message.fence, OrderKind.HOLD, message.version, message.step
             )
             if not answer.accepted:
-                self.keeper.refuse(message.version)
+                self.participant.refuse(message.version)
         await call.reply_json(answer)
 
     async def _handle_confirm(self, call: Call) -> None:
         message = await call.read_json(ConfirmMap, MAX_MESSAGE_BYTES)
-        async with self.keeper.deciding:
+        async with self.participant.decision_lock:
             self._check_incarnation(message.incarnation)
             if (
-                self.keeper.pending != message.version
-                or self.keeper.stage is Stage.REFUSED
+                self.participant.pending_version != message.version
+                or self.participant.decision is Decision.REFUSED
             ):
                 await call.reply_json(MapAnswer(False, 0, "refused before"))
                 return
-            if await self.keeper.holds_for(message.version):
-                self.keeper.stage = Stage.CONFIRMED
+            if await self.participant.holds_for(message.version):
+                self.participant.decision = Decision.CONFIRMED
                 answer = await self._order(
                     message.fence, OrderKind.SWITCH, message.version
                 )
             else:
-                self.keeper.refuse(message.version)
+                self.participant.refuse(message.version)
                 answer = MapAnswer(False, 0, "engine does not hold for it")
         await call.reply_json(answer)
 
@@ -103,34 +106,37 @@
         incarnation that told it; so the engine is asked first.
         """
         message = await call.read_json(VerdictRequest, MAX_MESSAGE_BYTES)
-        async with self.keeper.deciding:
+        async with self.participant.decision_lock:
             verdict = await self._verdict(message.version)
         await call.reply_json(VerdictAnswer(verdict))
 
     async def _verdict(self, version: int) -> Verdict:
-        if not self.keeper.ready.is_set():
+        if not self.participant.ready.is_set():
             return Verdict.UNKNOWN
         try:
-            state = await self.keeper.engine.state()
+            state = await self.participant.engine.state()
         except ChannelError:
             return Verdict.UNKNOWN
         if version in (state.version, state.scheduled):
             return Verdict.CONFIRMED
-        if self.keeper.pending == version and self.keeper.stage is Stage.CONFIRMED:
+        if (
+            self.participant.pending_version == version
+            and self.participant.decision is Decision.CONFIRMED
+        ):
             return Verdict.UNKNOWN
-        self.keeper.refuse(version)
+        self.participant.refuse(version)
         return Verdict.REFUSED
 
     async def _handle_standing(self, call: Call) -> None:
-        if not self.keeper.ready.is_set():
+        if not self.participant.ready.is_set():
             raise RequestError(ErrorKind.NOT_READY, "engine is being taken over")
         try:
-            state = await self.keeper.engine.state()
+            state = await self.participant.engine.state()
         except ChannelError as error:
             raise RequestError(ErrorKind.NOT_READY, str(error)) from error
         decided = bool(state.scheduled)
         standing = Standing(
-            self.keeper.incarnation,
+            self.participant.incarnation,
             state.step,
             state.version,
             scheduled=state.scheduled,
@@ -141,7 +147,7 @@
 
     async def _handle_report(self, call: Call) -> None:
         try:
-            report = await self.keeper.engine.report()
+            report = await self.participant.engine.report()
         except ChannelError as error:
             raise RequestError(ErrorKind.NOT_READY, str(error)) from error
         await call.reply_json(report)
@@ -156,7 +162,7 @@
     ) -> MapAnswer:
         try:
             self._check_fence(fence)
-            state = await self.keeper.engine.order(
+            state = await self.participant.engine.order(
                 kind, version, step, expert_map=expert_map
             )
         except (ChannelError, RequestError) as error:
@@ -165,13 +171,13 @@
 
     def _check_incarnation(self, incarnation: str) -> None:
         """Refuse what was meant for the last agent of this slot."""
-        if incarnation != self.keeper.incarnation:
+        if incarnation != self.participant.incarnation:
             raise RequestError(ErrorKind.WRONG_INCARNATION, "for another incarnation")
 
     def _check_fence(self, fence: int) -> None:
         """Refuse a planner whose lease another one has taken since."""
-        if not self.keeper.ready.is_set():
+        if not self.participant.ready.is_set():
             raise RequestError(ErrorKind.NOT_READY, "engine is being taken over")
-        if fence < self.keeper.engine.highest_fence:
+        if fence < self.participant.engine.highest_fence:
             raise RequestError(ErrorKind.VERSION_CONFLICT, "old fencing number")
-        self.keeper.engine.highest_fence = fence
+        self.participant.engine.highest_fence = fence
--- a/packages/agent/src/briarthread_agent/maps/map_keeper.py
+++ b/packages/agent/src/briarthread_agent/maps/map_participant.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from briarthread_agent.maps.engine_client import ORDER_TIMEOUT, EngineClient
+from briarthread_agent.maps.engine_client import ORDER_TIMEOUT_SECONDS, EngineClient
 from briarthread_agent.maps.group_peers import GroupPeers
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import ChannelError
@@ -16,14 +16,14 @@
 from briarthread_common.text.group import Group
 from briarthread_common.text.text_view import TextView
 
-WATCH_INTERVAL = 0.05
+POLL_SECONDS = 0.05
 """Seconds between looks at the engine while something is undecided."""
-IDLE_INTERVAL = 0.5
-HOLD_GRACE = 0.2
+IDLE_POLL_SECONDS = 0.5
+HOLD_GRACE_SECONDS = 0.2
 """Seconds for which a held engine waits for the planner's confirmation."""
 
 
-class Stage(StrEnum):
+class Decision(StrEnum):
     """Tell how far this agent has gone with the pending version."""
 
     ANNOUNCED = "announced"
@@ -31,7 +31,7 @@
     REFUSED = "refused"
 
 
-class MapKeeper:
+class MapParticipant:
     """
     Let an engine change its map only together with all ranks of its group.
 
@@ -58,11 +58,11 @@
         self.text = text
         self.peers = peers
         self.events = events
-        self.pending = NO_MAP
-        self.stage = Stage.REFUSED
-        self.refused: set[int] = set()
+        self.pending_version = NO_MAP
+        self.decision = Decision.REFUSED
+        self.refused_versions: set[int] = set()
         self.ready = anyio.Event()
-        self.deciding = anyio.Lock()
+        self.decision_lock = anyio.Lock()
 
     def group(self) -> Group | None:
         """Return the group that this agent's target belongs to."""
@@ -71,14 +71,14 @@
     async def run(self) -> None:
         """Take the engine over, then settle whatever holds it."""
         while self.group() is None:
-            await anyio.sleep(IDLE_INTERVAL)
+            await anyio.sleep(IDLE_POLL_SECONDS)
         await self._take_over()
         while True:
             try:
                 await self._look_after()
             except ChannelError as error:
                 self.events.add("map-wait", self.name, str(error))
-            pause = WATCH_INTERVAL if self.pending else IDLE_INTERVAL
+            pause = POLL_SECONDS if self.pending_version else IDLE_POLL_SECONDS
             await anyio.sleep(pause)
 
     async def _take_over(self) -> None:
@@ -88,13 +88,13 @@
         An engine that checks fencing refuses them from the first order on.
         One that ignores it is given the time in which they can arrive.
         """
-        await anyio.sleep(ORDER_TIMEOUT)
+        await anyio.sleep(ORDER_TIMEOUT_SECONDS)
         while True:
             try:
                 await self.engine.order(OrderKind.FENCE)
                 break
             except ChannelError:
-                await anyio.sleep(IDLE_INTERVAL)
+                await anyio.sleep(IDLE_POLL_SECONDS)
         self.ready.set()
 
     async def _look_after(self) -> None:
@@ -104,34 +104,34 @@
             await self._look_after_hold(state)
         elif state.version == NO_MAP:
             await self._join()
-        elif state.hold_for == NO_MAP and self.stage is not Stage.ANNOUNCED:
-            self.pending = NO_MAP
+        elif state.hold_for == NO_MAP and self.decision is not Decision.ANNOUNCED:
+            self.pending_version = NO_MAP
 
     async def _look_after_hold(self, state: EngineState) -> None:
-        if self.stage is Stage.CONFIRMED:
+        if self.decision is Decision.CONFIRMED:
             await self.engine.order(OrderKind.SWITCH, state.hold_for)
-        elif self.stage is Stage.REFUSED:
+        elif self.decision is Decision.REFUSED:
             await self._settle(state.hold_for)
         elif state.held:
-            await anyio.sleep(HOLD_GRACE)
+            await anyio.sleep(HOLD_GRACE_SECONDS)
             await self._settle(state.hold_for)
 
     def _adopt(self, state: EngineState) -> None:
         """Take up a hold that the last agent of this slot has set."""
-        if self.pending != state.hold_for:
-            self.pending = state.hold_for
+        if self.pending_version != state.hold_for:
+            self.pending_version = state.hold_for
             self.refuse(state.hold_for)
 
     def refuse(self, version: int) -> None:
         """Promise never to accept the confirmation of a version."""
-        self.refused.add(version)
-        if version == self.pending:
-            self.stage = Stage.REFUSED
+        self.refused_versions.add(version)
+        if version == self.pending_version:
+            self.decision = Decision.REFUSED
 
     async def _settle(self, version: int) -> None:
         """Find out together with all others what becomes of a version."""
-        async with self.deciding:
-            if self.pending != version or self.stage is Stage.CONFIRMED:
+        async with self.decision_lock:
+            if self.pending_version != version or self.decision is Decision.CONFIRMED:
                 return
             self.refuse(version)
         verdicts = await self.peers.verdicts(self.group(), version)
@@ -145,9 +145,9 @@
             return
         await self.engine.order(kind, version)
         if kind is OrderKind.SWITCH:
-            self.stage = Stage.CONFIRMED
+            self.decision = Decision.CONFIRMED
         else:
-            self.pending = NO_MAP
+            self.pending_version = NO_MAP
         self.events.add(f"map-{kind}", f"map/{version}", reason)
 
     async def holds_for(self, version: int) -> bool:
@@ -189,6 +189,6 @@
 
     async def _settle_for_join(self, version: int) -> None:
         """Promise to refuse a version, and make the others say what they know."""
-        async with self.deciding:
+        async with self.decision_lock:
             self.refuse(version)
         await self.peers.verdicts(self.group(), version)
--- a/packages/agent/src/briarthread_agent/ranks/direct_agent.py
+++ b/packages/agent/src/briarthread_agent/ranks/direct_agent.py
@@ -7,9 +7,9 @@
 from anyio.abc import TaskGroup
 from loguru import logger
 
-from briarthread_agent.ranks.map_finisher import MapFinisher
-from briarthread_agent.ranks.planner_seat import PlannerSeat
-from briarthread_agent.ranks.rank_keeper import RankKeeper
+from briarthread_agent.ranks.map_change_recovery import MapChangeRecovery
+from briarthread_agent.ranks.planner_role import PlannerRole
+from briarthread_agent.ranks.rank_controller import RankController
 from briarthread_agent.ranks.rank_peers import RankPeers
 from briarthread_agent.ranks.rank_planner import RankPlanner
 from briarthread_agent.ranks.settings import (
@@ -37,9 +37,9 @@
 from briarthread_common.spread.spreader import EXCHANGE_PATH
 from briarthread_common.utils.clock import Clock
 
-NEAR = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
+CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
 """Engines on the same machine, peers and the store answer in milliseconds."""
-GROUP_SECONDS = 1.0
+GROUP_CHECK_SECONDS = 1.0
 """How often the group of the own rank is compared with the one that is listed."""
 
 
@@ -69,25 +69,25 @@
             follows=False,
         )
         self.routes = RouteView(self.feeds.routes, adapter)
-        self.keeper = RankKeeper(adapter.open_rank(channel, settings.target))
+        self.controller = RankController(adapter.open_rank(channel, settings.target))
         self.peers = RankPeers(
             settings.service, self.directory, self.feeds.targets, adapter, channel
         )
-        self.finisher = MapFinisher(self.keeper, self.peers, self.events)
+        self.recovery = MapChangeRecovery(self.controller, self.peers, self.events)
         self.planner = RankPlanner(
             settings.service,
             self.routes,
-            self.keeper,
+            self.controller,
             self.peers,
-            PlannerSeat(settings.name, self.store, self.keeper, self.peers),
+            PlannerRole(settings.name, self.store, self.controller, self.peers),
             self.events,
         )
         pages = StatusPages(Metrics(), self.events, self._ready, self._status)
         self.app = App(
             [
                 Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
-                *self.keeper.routes(),
-                *self.peers.calls.routes(),
+                *self.controller.routes(),
+                *self.peers.caller.routes(),
                 *pages.routes(),
             ]
         )
@@ -104,26 +104,26 @@
     async def drain(self) -> None:
         """Stop at once: nobody waits for an agent beside its target."""
         logger.info("agent: stopping")
-        self.keeper.reporter.close()
+        self.controller.reporter.close()
 
     async def _run_when_started(self) -> None:
         await self.spreader.started.wait()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._keep_listed)
-            tasks.start_soon(self.keeper.follow_counts)
-            tasks.start_soon(self.finisher.run)
+            tasks.start_soon(self.controller.poll_counts)
+            tasks.start_soon(self.recovery.run)
             tasks.start_soon(self.planner.run)
 
     async def _keep_listed(self) -> None:
         """Enter the agent in the list, anew when its rank is in another group."""
-        await self.keeper.own_state()
+        await self.controller.own_state()
         listed: Instance | None = None
         while True:
             row = self._row()
             if row != listed:
                 await list_itself(row, self.directory, self.store)
                 listed = row
-            await anyio.sleep(GROUP_SECONDS)
+            await anyio.sleep(GROUP_CHECK_SECONDS)
 
     def _row(self) -> Instance:
         """Return the agent's row, with the group last known while none is said."""
@@ -135,7 +135,7 @@
             self.settings.listen,
             InstanceRole.TARGET,
             self.settings.service,
-            group=self.keeper.group or known,
+            group=self.controller.group or known,
         )
 
     def _ready(self) -> str:
@@ -147,8 +147,8 @@
             "role": "agent beside a target",
             "versions": self.feeds.versions(),
             "platform": "up" if self.spreader.platform_up else "down",
-            "planner": self.keeper.fence,
-            "plans": self.planner.seat.held(),
+            "planner": self.controller.fence,
+            "plans": self.planner.role.is_held(),
         }
 
 
@@ -159,7 +159,7 @@
     agent = DirectAgent(
         settings,
         adapter,
-        HttpChannel(NEAR),
+        HttpChannel(CHANNEL_OPTIONS),
         Clock.from_system(),
         random.SystemRandom(),
     )
--- a/packages/agent/src/briarthread_agent/ranks/group_calls.py
+++ b/packages/agent/src/briarthread_agent/ranks/group_caller.py
@@ -4,9 +4,9 @@
 It answers groups of dozens to hundreds of ranks. A planner that calls each agent
 itself is kept busy by nothing else, and the link of its instance fills: before
 129 ranks one look took a quarter of a second of its processor and 90 KB. So the
-agents are taken in bundles, and one agent of each calls the others of its bundle
+agents are taken in bundles, and one agent of each calls the others of its batch
 and joins their answers. An agent that does not do that is passed over for a
-while, and those of its bundle are called directly.
+while, and those of its batch are called directly.
 """
 
 import math
@@ -35,27 +35,27 @@
 from briarthread_common.utils.passed_over import PassedOver
 
 T = TypeVar("T")
-MOST_DIRECT = 24
+MAX_DIRECT_CALLS = 24
 """Agents up to which each is called directly: so many calls take some hundredths
 of a second, and a detour would cost as much."""
-LEAST_BUNDLE = 3
-"""Agents under which a bundle is called directly."""
-INNER_SHARE = 0.6
+MIN_RELAY_BATCH = 3
+"""Agents under which a batch is called directly."""
+RELAYED_TIMEOUT_SHARE = 0.6
 """Part of the time for a call that those who are called by way of another have."""
-PASSED_OVER_SECONDS = 5.0
+RELAY_EXCLUSION_SECONDS = 5.0
 """How long an agent that did not pass calls on is passed over."""
 
 
-class GroupCalls:
+class GroupCaller:
     """Call the agents of one group and pass on the calls of others."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
-        self.passed_over = PassedOver(PASSED_OVER_SECONDS)
+        self.excluded_relays = PassedOver(RELAY_EXCLUSION_SECONDS)
 
     def routes(self) -> list[Route]:
         """Return the routes of those who have calls passed on."""
-        return [json_route(RELAY_PATH, RelayRequest, self.pass_on, MAX_RANK_BODY)]
+        return [json_route(RELAY_PATH, RelayRequest, self.handle_relay, MAX_RANK_BODY)]
 
     async def call(
         self,
@@ -65,19 +65,19 @@
         seconds: float,
     ) -> dict[str, T]:
         """Send each address its message; return the answers that came."""
-        if len(messages) <= MOST_DIRECT:
+        if len(messages) <= MAX_DIRECT_CALLS:
             return await call_many(
                 self.channel, path, messages, answer, seconds, packed=True
             )
         answers: dict[str, T] = {}
 
-        async def call_bundle(bundle: list[str]) -> None:
-            part = {address: messages[address] for address in bundle}
+        async def call_bundle(batch: list[str]) -> None:
+            part = {address: messages[address] for address in batch}
             answers.update(await self._call_bundle(path, part, answer, seconds))
 
         async with anyio.create_task_group() as tasks:
-            for bundle in bundles_of(messages):
-                tasks.start_soon(call_bundle, bundle)
+            for batch in split_into_batches(messages):
+                tasks.start_soon(call_bundle, batch)
         return answers
 
     async def _call_bundle(
@@ -86,20 +86,22 @@
         head = self._head(list(messages))
         if head is not None:
             try:
-                return await self._relay(head, path, messages, answer, seconds)
+                return await self._call_through_relay(
+                    head, path, messages, answer, seconds
+                )
             except ChannelError as error:
                 logger.info("rank: {} does not pass calls on: {}", head, error)
-                self.passed_over.note(head)
+                self.excluded_relays.note(head)
         return await call_many(
             self.channel, path, messages, answer, seconds, packed=True
         )
 
-    def _head(self, bundle: list[str]) -> str | None:
-        """Return the agent that is to call the others of a bundle, if any."""
-        sound = self.passed_over.others(bundle)
-        return sound[0] if sound and len(bundle) >= LEAST_BUNDLE else None
+    def _head(self, batch: list[str]) -> str | None:
+        """Return the agent that is to call the others of a batch, if any."""
+        sound = self.excluded_relays.others(batch)
+        return sound[0] if sound and len(batch) >= MIN_RELAY_BATCH else None
 
-    async def _relay(
+    async def _call_through_relay(
         self,
         head: str,
         path: str,
@@ -107,7 +109,7 @@
         answer: type[T],
         seconds: float,
     ) -> dict[str, T]:
-        relayed = RelayRequest(path, _joined(messages), seconds * INNER_SHARE)
+        relayed = RelayRequest(path, _joined(messages), seconds * RELAYED_TIMEOUT_SHARE)
         found = await call_json(
             self.channel,
             head,
@@ -128,7 +130,7 @@
                 logger.info("rank: broken answer of {}: {}", address, error)
         return answers
 
-    async def pass_on(self, asked: RelayRequest) -> RelayAnswer:
+    async def handle_relay(self, asked: RelayRequest) -> RelayAnswer:
         """Call others for another agent and join their answers."""
         if asked.path not in GROUP_PATHS:
             raise RequestError(ErrorKind.BAD_REQUEST, f"{asked.path} is not passed on")
@@ -146,11 +148,12 @@
         return RelayAnswer(answers)
 
 
-def bundles_of(addresses: Mapping[str, object]) -> list[list[str]]:
+def split_into_batches(addresses: Mapping[str, object]) -> list[list[str]]:
     """
     Return addresses in about as many bundles as each has members.
 
-    >>> [len(bundle) for bundle in bundles_of({f"a{n:03}": 0 for n in range(129)})]
+    >>> addresses = {f"a{n:03}": 0 for n in range(129)}
+    >>> [len(batch) for batch in split_into_batches(addresses)]
     [12, 12, 12, 12, 12, 12, 12, 12, 12, 12, 9]
     """
     ordered = sorted(addresses)
--- a/packages/agent/src/briarthread_agent/ranks/group_view.py
+++ b/packages/agent/src/briarthread_agent/ranks/group_view.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from briarthread_agent.ranks.held_pass import HeldPass
+from briarthread_agent.ranks.pass_id import PassId
 from briarthread_common.direct.rank_state import RankState
 from briarthread_common.messages.rank_messages import RankAnswer
 from briarthread_common.utils.host_of import host_of
 
-SLOW = 1.5
+SLOW_RANK_FACTOR = 1.5
 """How many times longer than usual a rank must take to count as slow: less
 costs callers less than leaving the rank out would."""
 
@@ -32,14 +32,14 @@
     """
     Hold the answers of all ranks of a group in the order of the ranks.
 
-    ``fault`` says why the group cannot be changed now, or is empty. ``silent``
+    ``fault`` says why the group cannot be changed now, or is empty. ``unresponsive``
     holds the addresses of agents that gave no answer, so that their engines
     were asked instead.
     """
 
     members: tuple[Member, ...]
     fault: str = ""
-    silent: frozenset[str] = frozenset()
+    unresponsive: frozenset[str] = frozenset()
 
     @property
     def epoch(self) -> int:
@@ -57,12 +57,12 @@
         return not self.members or len(self.members) < self.members[0].state.size
 
     @property
-    def held(self) -> set[HeldPass]:
+    def held_passes(self) -> set[PassId]:
         """Return the passes that some rank holds."""
-        return {HeldPass.of(member.state) for member in self.members} - {None}
+        return {PassId.held_by(member.state) for member in self.members} - {None}
 
     @property
-    def unsettled(self) -> bool:
+    def change_pending(self) -> bool:
         """Tell whether a change was begun and not brought to its end."""
         return any(
             member.state.armed is not None or member.state.held is not None
@@ -74,12 +74,12 @@
         """Tell whether some rank says that the group does not serve."""
         return _is_broken(self.members)
 
-    def slow(self) -> dict[str, float]:
+    def slow_ranks(self) -> dict[str, float]:
         """Return the ranks that are clearly slow by their host, see GroupReport."""
         return {
             host_of(member.address): round(member.state.slowdown, 2)
             for member in self.members
-            if member.state.slowdown >= SLOW
+            if member.state.slowdown >= SLOW_RANK_FACTOR
         }
 
     def newest_version(self) -> int:
--- a/packages/agent/src/briarthread_agent/ranks/map_change.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change.py
@@ -24,12 +24,12 @@
     base: int
     base_layers: Layers
 
-    def dealt(self) -> DealtMap | None:
+    def round_robin_base(self) -> DealtMap | None:
         """Describe the map in force if it deals experts out to ranks in turn."""
         ranks = len(self.base_layers[0])
         experts = len({expert for rank in self.base_layers[0] for expert in rank})
         found = DealtMap(len(self.base_layers), experts, ranks)
-        return found if dealt_layers(found) == self.base_layers else None
+        return found if round_robin_layers(found) == self.base_layers else None
 
     def differences(self) -> list[RankExperts]:
         """Return what each rank holds otherwise than before."""
@@ -43,11 +43,11 @@
         ]
 
 
-def dealt_layers(dealt: DealtMap) -> Layers:
+def round_robin_layers(dealt: DealtMap) -> Layers:
     """
     Return the layers of a map that deals experts out to ranks in turn.
 
-    >>> dealt_layers(DealtMap(sets=1, experts=5, ranks=2))
+    >>> round_robin_layers(DealtMap(sets=1, experts=5, ranks=2))
     [[[0, 2, 4], [1, 3]]]
     """
     return even_map(NO_MAP, dealt.sets, dealt.experts, dealt.ranks).layers
--- a/packages/agent/src/briarthread_agent/ranks/map_mover.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change_coordinator.py
@@ -13,7 +13,7 @@
 5. the holding rank is told to go.
 
 Where an agent is silent though its engine works, the planner orders the engine
-itself and believes its report, as MapFinisher does; else one agent that restarts
+itself and believes its report, as MapChangeRecovery does; else one agent that restarts
 would keep its group's map as it is.
 
 A pass that has begun takes no more arms, so a late copy of one fails. Until the
@@ -21,7 +21,7 @@
 when no planner asks for the promise: the planner may be frozen, and a rank on
 its own instance could then not be told anything. After the promise, whoever
 finds a pass held or a rank armed brings the change to its end by the same
-steps, see MapFinisher: nobody goes back then, and so nobody can disagree. There
+steps, see MapChangeRecovery: nobody goes back then, and so nobody can disagree. There
 is one way back, for a planner whose instance is frozen or cut off right after the
 promise, so that its own rank cannot be armed by anyone: while all other agents say
 that they have not begun to arm, and promise not to for a planner, no rank is armed
@@ -35,11 +35,11 @@
 import anyio
 from loguru import logger
 
-from briarthread_agent.ranks.group_calls import MOST_DIRECT
+from briarthread_agent.ranks.group_caller import MAX_DIRECT_CALLS
 from briarthread_agent.ranks.group_view import GroupView, Member
 from briarthread_agent.ranks.map_change import MapChange
 from briarthread_agent.ranks.map_stager import MapStager
-from briarthread_agent.ranks.rank_keeper import RankKeeper
+from briarthread_agent.ranks.rank_controller import RankController
 from briarthread_agent.ranks.rank_peers import RankPeers
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import RankError
@@ -58,44 +58,46 @@
     WithdrawRequest,
 )
 
-STAGE_SECONDS = 4.0
+STAGE_TIMEOUT_SECONDS = 4.0
 """Longest wait for all ranks to load: three experts a set take under one, and
 whole maps go out to a few ranks at a time."""
-AHEAD_SECONDS = 0.3
+LEAD_SECONDS = 0.3
 """How far ahead the pass of the change lies: holding it and arming every rank
 takes some ten calls of a few milliseconds, and one may have to be made anew."""
-AHEAD_RANK_SECONDS = 0.001
+LEAD_SECONDS_PER_RANK = 0.001
 """The same for each rank: a large group is armed by way of some of its agents,
 which takes each of them and the planner some dozen calls more."""
-LOSSY_AHEAD_SECONDS = 0.8
+LOSSY_LEAD_SECONDS = 0.8
 """The same while orders are lost, or engines without an agent report some hundred
 milliseconds late: an order that stays unanswered is made again after 0.15 s, and a
 hold that lasts into its pass makes every stream late at once."""
-LOSSY_SECONDS = 10.0
+LOSS_MEMORY_SECONDS = 10.0
 """How long after a lost order more are expected."""
-LEAST_AHEAD = 4
+MIN_LEAD_PASSES = 4
 """The same as a number of passes, for a group that is fast or idle."""
 RETRY_SECONDS = 0.05
-HOLD_SECONDS = 0.4
+HOLD_TIMEOUT_SECONDS = 0.4
 """Longest wait for a hold without an answer to show. One that comes later still
 was promised to nobody, and its agent lets it go."""
-HOLD_TRIES = 3
+MAX_HOLD_ATTEMPTS = 3
 """Ranks that are asked to hold a pass of one change. All ranks have loaded it by
 then; while orders are lost, one who starts anew has lost a second or two."""
-SETTLE_SECONDS = 8.0
+COMPLETION_TIMEOUT_SECONDS = 8.0
 """Time after which the mover leaves an unfinished change to the finisher."""
 
 
-class MapMover:
+class MapChangeCoordinator:
     """Carry out one change of the group's map."""
 
-    def __init__(self, keeper: RankKeeper, peers: RankPeers, events: EventLog) -> None:
-        self.keeper = keeper
+    def __init__(
+        self, controller: RankController, peers: RankPeers, events: EventLog
+    ) -> None:
+        self.controller = controller
         self.peers = peers
         self.events = events
-        self.lost_at = float("-inf")
+        self.last_order_lost_at = float("-inf")
 
-    async def place(
+    async def apply(
         self,
         view: GroupView,
         fence: int,
@@ -108,17 +110,17 @@
         if not await self._stage(view, fence, change):
             self.events.add("map-not-staged", group, f"version {version}")
             return False
-        for skipped in range(HOLD_TRIES):
+        for skipped in range(MAX_HOLD_ATTEMPTS):
             current = await self.peers.view(group, RankQuery(fence))
-            if current.fault or current.epoch != view.epoch or current.unsettled:
+            if current.fault or current.epoch != view.epoch or current.change_pending:
                 self.events.add("map-dropped", group, current.fault or "it has changed")
                 return False
             ahead = self._passes_ahead(pass_seconds, current)
             armed = ArmedMap(version, current.step + ahead)
             holder, engine = await self._holder(current, skipped)
-            if holder is None or engine is None or self.keeper.fence > fence:
+            if holder is None or engine is None or self.controller.fence > fence:
                 return False
-            planner = "" if current.silent else await self._own_address(current)
+            planner = "" if current.unresponsive else await self._own_address(current)
             request = AcceptRequest(fence, current.epoch, armed.step, group, planner)
             if await self._hold(holder, engine, request):
                 return await self._switch(current, armed, holder, request)
@@ -129,7 +131,7 @@
 
     async def _own_address(self, view: GroupView) -> str:
         """Return where the agent of this planner is called."""
-        own = await self.keeper.own_state()
+        own = await self.controller.own_state()
         if own is None or own.rank >= len(view.members):
             return ""
         return view.members[own.rank].address
@@ -143,7 +145,9 @@
         A planner that wakes from a freeze is told so: before 32 ranks the group
         stood still for 1.7 s more until another agent had finished the change.
         """
-        answer = await self.peers.ask(holder.address, ACCEPT_PATH, request, OrderAnswer)
+        answer = await self.peers.call_agent(
+            holder.address, ACCEPT_PATH, request, OrderAnswer
+        )
         if answer is None or not answer.taken:
             return False
         return await self._switch(view, armed, holder, request)
@@ -151,14 +155,14 @@
     def _passes_ahead(self, pass_seconds: float, view: GroupView) -> int:
         """Return in how many passes the change is to be in force."""
         ranks = len(view.members)
-        lossy = anyio.current_time() - self.lost_at < LOSSY_SECONDS
-        seconds = LOSSY_AHEAD_SECONDS if lossy or view.silent else AHEAD_SECONDS
-        if ranks > MOST_DIRECT:
-            seconds += ranks * AHEAD_RANK_SECONDS
-        return max(LEAST_AHEAD, math.ceil(seconds / max(pass_seconds, 0.001)))
+        lossy = anyio.current_time() - self.last_order_lost_at < LOSS_MEMORY_SECONDS
+        seconds = LOSSY_LEAD_SECONDS if lossy or view.unresponsive else LEAD_SECONDS
+        if ranks > MAX_DIRECT_CALLS:
+            seconds += ranks * LEAD_SECONDS_PER_RANK
+        return max(MIN_LEAD_PASSES, math.ceil(seconds / max(pass_seconds, 0.001)))
 
     def _note_lost(self) -> None:
-        self.lost_at = anyio.current_time()
+        self.last_order_lost_at = anyio.current_time()
 
     async def _switch(
         self, view: GroupView, armed: ArmedMap, holder: Member, promised: AcceptRequest
@@ -177,7 +181,7 @@
         """Have every rank load what it lacks; tell whether all have."""
         stager = MapStager(self.peers, view, fence, change)
         staged = False
-        with anyio.move_on_after(STAGE_SECONDS):
+        with anyio.move_on_after(STAGE_TIMEOUT_SECONDS):
             staged = await stager.run()
         if stager.repeated:
             self._note_lost()
@@ -189,9 +193,9 @@
         """Have a rank hold a pass; tell whether its agent promises that it does."""
         if not await engine.hold(request.epoch, request.step):
             self._note_lost()
-        with anyio.move_on_after(HOLD_SECONDS):
-            while self.keeper.fence <= request.fence:
-                answer = await self.peers.ask(
+        with anyio.move_on_after(HOLD_TIMEOUT_SECONDS):
+            while self.controller.fence <= request.fence:
+                answer = await self.peers.call_agent(
                     holder.address, ACCEPT_PATH, request, OrderAnswer
                 )
                 if answer is not None and answer.taken:
@@ -210,7 +214,7 @@
         The question may have come too late to be answered, and the hold may still
         come; a change for another pass must not begin beside that.
         """
-        answer = await self.peers.ask(
+        answer = await self.peers.call_agent(
             holder.address,
             WITHDRAW_PATH,
             WithdrawRequest(request.fence, request.epoch, request.step, request.group),
@@ -222,11 +226,11 @@
         self, view: GroupView, skipped: int
     ) -> tuple[Member | None, RankClient | None]:
         """Return the rank that is to hold, on another instance if there is one."""
-        own = await self.keeper.own_state()
+        own = await self.controller.own_state()
         first = (0 if own is None else own.rank + 1 + skipped) % len(view.members)
         for member in (*view.members[first:], *view.members[:first]):
-            engine = self.peers.engine_beside(member.address)
-            if engine is not None and member.address not in view.silent:
+            engine = self.peers.engine_of_agent(member.address)
+            if engine is not None and member.address not in view.unresponsive:
                 return member, engine
         return None, None
 
@@ -241,12 +245,12 @@
         fence, epoch, group = promised.fence, promised.epoch, promised.group
         request = ArmRequest(fence, epoch, armed.version, armed.step, group)
         missing = {member.address for member in view.members}
-        with anyio.move_on_after(SETTLE_SECONDS):
-            while missing and self.keeper.fence <= fence:
+        with anyio.move_on_after(COMPLETION_TIMEOUT_SECONDS):
+            while missing and self.controller.fence <= fence:
                 due = missing - {promised.planner} or missing
-                asked = dict.fromkeys(due - view.silent, request)
+                asked = dict.fromkeys(due - view.unresponsive, request)
                 answers = await self.peers.call(ARM_PATH, asked, OrderAnswer)
-                answers |= await self._arm_engines(due & view.silent, request)
+                answers |= await self._arm_engines(due & view.unresponsive, request)
                 if _cannot_be_armed(answers, armed, epoch):
                     return False
                 missing -= {name for name, answer in answers.items() if answer.taken}
@@ -270,12 +274,12 @@
                 return OrderAnswer(False)
             return OrderAnswer(state.armed == armed, state)
 
-        return await self.peers.at_engines(silent, arm)
+        return await self.peers.call_engines(silent, arm)
 
     async def _go(self, holder: Member, request: GoRequest) -> None:
-        with anyio.move_on_after(SETTLE_SECONDS):
+        with anyio.move_on_after(COMPLETION_TIMEOUT_SECONDS):
             while True:
-                answer = await self.peers.ask(
+                answer = await self.peers.call_agent(
                     holder.address, GO_PATH, request, OrderAnswer
                 )
                 if answer is not None and answer.taken:
--- a/packages/agent/src/briarthread_agent/ranks/rank_keeper.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_controller.py
@@ -5,8 +5,8 @@
 import anyio
 from loguru import logger
 
-from briarthread_agent.ranks.held_pass import HeldPass
-from briarthread_agent.ranks.map_change import apply_differences, dealt_layers
+from briarthread_agent.ranks.map_change import apply_differences, round_robin_layers
+from briarthread_agent.ranks.pass_id import PassId
 from briarthread_agent.ranks.rank_demand import RankDemand
 from briarthread_common.core.exceptions import RankError
 from briarthread_common.direct.rank_client import Layers, RankClient
@@ -39,23 +39,23 @@
 )
 
 NEVER = float("-inf")
-REPORT_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS = 0.1
 """Shortest time between two reports to an entry: some passes."""
-COUNT_SECONDS = 0.5
+COUNT_POLL_SECONDS = 0.5
 """How often the counts are read where no planner asks for them; it is free at
 the rank's own agent, and older choices would count as recent otherwise."""
-COUNT_NUMBER_SECONDS = 0.00025
+POLL_SECONDS_PER_COUNT = 0.00025
 """The same for each number read: before 129 ranks, with 4,128 numbers each, a read
 takes a millisecond or two of an agent, and few ranks are asked at a look."""
 LATE_ORDER_SECONDS = 15.0
 """How long after its start an agent cannot know what the one before it ordered: an
 order without an answer may be carried out seconds later."""
-PLANNER_SECONDS = 3.0
+SLOW_RANKS_TTL_SECONDS = 3.0
 """Age past which a planner's word on slow ranks counts no more. It asks each
 second at least, and more often while the group is busy."""
 
 
-class RankKeeper:
+class RankController:
     """
     Order one rank's engine for whoever plans its group.
 
@@ -77,21 +77,21 @@
         self.engine = engine
         self.group = ANY_GROUP
         self.fences: dict[str, int] = {}
-        self.planner_heard = NEVER
-        self.accepted: HeldPass | None = None
-        self.accepted_from = ""
-        self.withdrawn: HeldPass | None = None
-        self.arming: HeldPass | None = None
-        self.revoked: HeldPass | None = None
-        self.finishing: HeldPass | None = None
-        self.settling = anyio.Lock()
+        self.planner_seen_at = NEVER
+        self.promised_pass: PassId | None = None
+        self.promised_to = ""
+        self.withdrawn_pass: PassId | None = None
+        self.arming_pass: PassId | None = None
+        self.revoked_pass: PassId | None = None
+        self.recovering_pass: PassId | None = None
+        self.recovery_lock = anyio.Lock()
         self.started = anyio.current_time()
         self.newest_version = 0
         self.demand = RankDemand()
-        self.maps: dict[tuple[int, int], Layers] = {}
-        self.slow: dict[str, float] = {}
+        self.layers_by_version: dict[tuple[int, int], Layers] = {}
+        self.slow_ranks: dict[str, float] = {}
         self.serving: bool | None = None
-        self.reporter = ReportStream(self.report, operator.eq, REPORT_SECONDS)
+        self.reporter = ReportStream(self.report, operator.eq, REPORT_INTERVAL_SECONDS)
 
     def routes(self) -> list[Route]:
         """Return the routes of the planner's calls."""
@@ -99,7 +99,7 @@
             json_route(QUERY_PATH, RankQuery, self.query),
             json_route(STAGE_PATH, StageRequest, self.stage, MAX_RANK_BODY),
             json_route(ACCEPT_PATH, AcceptRequest, self.accept),
-            json_route(WITHDRAW_PATH, WithdrawRequest, self.take_back),
+            json_route(WITHDRAW_PATH, WithdrawRequest, self.withdraw),
             json_route(ARM_PATH, ArmRequest, self.arm),
             json_route(REVOKE_PATH, RevokeRequest, self.revoke),
             json_route(GO_PATH, GoRequest, self.go),
@@ -113,8 +113,8 @@
 
     def report(self) -> GroupReport:
         """Return what entries are told of the group."""
-        heard = anyio.current_time() - self.planner_heard <= PLANNER_SECONDS
-        return GroupReport(self.serving, self.slow if heard else {}, self.group)
+        heard = anyio.current_time() - self.planner_seen_at <= SLOW_RANKS_TTL_SECONDS
+        return GroupReport(self.serving, self.slow_ranks if heard else {}, self.group)
 
     async def query(self, asked: RankQuery) -> RankAnswer:
         """Return the rank's state, and what else was asked for."""
@@ -124,8 +124,8 @@
         if asked.fence != NO_FENCE:
             if not self._obeys(asked.group, asked.fence):
                 return RankAnswer(False)
-            self.planner_heard = anyio.current_time()
-            self.slow = self.slow if asked.slow is None else asked.slow
+            self.planner_seen_at = anyio.current_time()
+            self.slow_ranks = self.slow_ranks if asked.slow is None else asked.slow
         if state is None:
             return RankAnswer(True)
         try:
@@ -134,8 +134,8 @@
         except RankError as error:
             logger.debug("rank: {}", error)
             return RankAnswer(True)
-        silence = min(anyio.current_time() - self.planner_heard, LONG_SILENCE)
-        unit = self.demand.unit() if counts else 1.0
+        silence = min(anyio.current_time() - self.planner_seen_at, LONG_SILENCE)
+        unit = self.demand.count_unit() if counts else 1.0
         return RankAnswer(
             True, state, counts, experts, silence, unit, self.newest_version
         )
@@ -145,9 +145,9 @@
         if not self._obeys(asked.group, asked.fence):
             return OrderAnswer(False)
         self.newest_version = max(self.newest_version, asked.version)
-        base = self.maps.get((asked.epoch, asked.base))
+        base = self.layers_by_version.get((asked.epoch, asked.base))
         if base is None and asked.dealt is not None:
-            base = dealt_layers(asked.dealt)
+            base = round_robin_layers(asked.dealt)
         layers = asked.layers
         if not layers and base is not None:
             layers = apply_differences(base, asked.differences)
@@ -162,40 +162,44 @@
         state = await self.own_state()
         if not self._obeys(asked.group, asked.fence):
             return OrderAnswer(False)
-        held = HeldPass(asked.epoch, asked.step)
-        if state is None or HeldPass.of(state) != held or self.withdrawn == held:
+        held = PassId(asked.epoch, asked.step)
+        if (
+            state is None
+            or PassId.held_by(state) != held
+            or self.withdrawn_pass == held
+        ):
             return OrderAnswer(False, state)
-        self.accepted, self.accepted_from = held, asked.planner
+        self.promised_pass, self.promised_to = held, asked.planner
         return OrderAnswer(True, state)
 
-    async def withdraw(self, held: HeldPass) -> bool:
+    async def release_unpromised(self, held: PassId) -> bool:
         """
         Let a held pass go that no planner was promised; tell whether it went.
 
         No rank is armed for it then, and none will be.
         """
-        if self.accepted == held:
+        if self.promised_pass == held:
             return False
-        self.withdrawn = held
+        self.withdrawn_pass = held
         await self.engine.go(held.epoch, held.step)
         state = await self.own_state()
-        return state is not None and HeldPass.of(state) != held
+        return state is not None and PassId.held_by(state) != held
 
-    async def take_back(self, asked: WithdrawRequest) -> OrderAnswer:
+    async def withdraw(self, asked: WithdrawRequest) -> OrderAnswer:
         """Promise a planner that a pass will never be promised, if it was not."""
-        held = HeldPass(asked.epoch, asked.step)
+        held = PassId(asked.epoch, asked.step)
         if self._obeys(asked.group, asked.fence):
-            await self.withdraw(held)
-        return OrderAnswer(self.withdrawn == held)
+            await self.release_unpromised(held)
+        return OrderAnswer(self.withdrawn_pass == held)
 
     async def arm(self, asked: ArmRequest) -> OrderAnswer:
         """Have the rank switch to a loaded map as a pass begins."""
         if not self._obeys(asked.group, asked.fence):
             return OrderAnswer(False)
-        due = HeldPass(asked.epoch, asked.step)
-        if self.revoked == due and not asked.finishes:
+        due = PassId(asked.epoch, asked.step)
+        if self.revoked_pass == due and not asked.finishes:
             return OrderAnswer(False, await self.own_state())
-        self.arming = due
+        self.arming_pass = due
         await self.engine.arm(asked.epoch, asked.version, asked.step)
         state = await self.own_state()
         armed = ArmedMap(asked.version, asked.step)
@@ -203,18 +207,23 @@
 
     async def revoke(self, asked: RevokeRequest) -> OrderAnswer:
         """Promise never to arm the rank for a pass because a planner asks for it."""
-        due = HeldPass(asked.epoch, asked.step)
+        due = PassId(asked.epoch, asked.step)
         state = await self.own_state()
         young = anyio.current_time() < self.started + LATE_ORDER_SECONDS
         armed = state is None or state.armed is not None
-        if not self._is_member(asked.group) or armed or young or self.arming == due:
+        if (
+            not self._is_member(asked.group)
+            or armed
+            or young
+            or self.arming_pass == due
+        ):
             return OrderAnswer(False, state)
-        self.revoked = due
+        self.revoked_pass = due
         return OrderAnswer(True, state)
 
-    async def take_back_promise(self, held: HeldPass) -> None:
+    async def release_promised(self, held: PassId) -> None:
         """Let a promised pass go for which no rank is armed and none will be."""
-        self.accepted, self.withdrawn = None, held
+        self.promised_pass, self.withdrawn_pass = None, held
         await self.engine.go(held.epoch, held.step)
 
     async def go(self, asked: GoRequest) -> OrderAnswer:
@@ -233,27 +242,27 @@
             logger.debug("rank: {}", error)
             return None
 
-    async def follow_counts(self) -> None:
+    async def poll_counts(self) -> None:
         """Take in the rank's counts now and then, until cancelled."""
         while True:
             numbers = len(self.demand.totals)
-            await anyio.sleep(max(COUNT_SECONDS, numbers * COUNT_NUMBER_SECONDS))
+            await anyio.sleep(max(COUNT_POLL_SECONDS, numbers * POLL_SECONDS_PER_COUNT))
             try:
                 await self._read_counts()
             except RankError as error:
                 logger.debug("rank: {}", error)
 
     async def _read_counts(self) -> list[int]:
-        self.demand.take(anyio.current_time(), await self.engine.counts())
-        return self.demand.recent()
+        self.demand.update(anyio.current_time(), await self.engine.counts())
+        return self.demand.recent_counts()
 
     def _remember(self, asked: StageRequest, layers: Layers) -> None:
         """Keep the map and the one that it changes, of this forming only."""
         kept = {asked.base, asked.version}
-        self.maps[asked.epoch, asked.version] = layers
-        self.maps = {
+        self.layers_by_version[asked.epoch, asked.version] = layers
+        self.layers_by_version = {
             key: known
-            for key, known in self.maps.items()
+            for key, known in self.layers_by_version.items()
             if key[0] == asked.epoch and key[1] in kept
         }
 
@@ -272,10 +281,10 @@
         """Forget what was heard and promised in the group that the rank has left."""
         logger.info("rank: in group {}, was in {}", group, self.group or "none known")
         self.group = group
-        self.planner_heard = NEVER
-        self.accepted = self.withdrawn = self.finishing = None
-        self.arming = self.revoked = None
-        self.maps, self.slow = {}, {}
+        self.planner_seen_at = NEVER
+        self.promised_pass = self.withdrawn_pass = self.recovering_pass = None
+        self.arming_pass = self.revoked_pass = None
+        self.layers_by_version, self.slow_ranks = {}, {}
 
     def _is_member(self, group: str) -> bool:
         return group in (ANY_GROUP, self.group)
--- a/packages/agent/src/briarthread_agent/ranks/rank_peers.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_peers.py
@@ -7,7 +7,7 @@
 import anyio
 from loguru import logger
 
-from briarthread_agent.ranks.group_calls import GroupCalls
+from briarthread_agent.ranks.group_caller import GroupCaller
 from briarthread_agent.ranks.group_view import GroupView, Member, build_view
 from briarthread_common.core.exceptions import DecodeError, RankError
 from briarthread_common.direct.platform_adapter import PlatformAdapter
@@ -26,16 +26,16 @@
 from briarthread_common.utils.passed_over import PassedOver
 
 T = TypeVar("T")
-CALL_SECONDS = 0.6
+CALL_TIMEOUT_SECONDS = 0.6
 """Longest wait for an agent, which asks an engine on its own machine."""
-SILENT_SECONDS = 0.3
+STALLED_CALL_TIMEOUT_SECONDS = 0.3
 """The same while the group stands still, when an agent that is frozen or dead
 must not keep it waiting; its engine is asked then."""
-QUIET_SECONDS = 0.7
-"""How long an agent without an answer is not called while its engine gives one: a
-call to a machine without power takes ``CALL_SECONDS`` to fail, and a change of the
-map makes half a dozen."""
-SEARCH_SECONDS = 2.0
+SKIP_AGENT_SECONDS = 0.7
+"""How long an agent that did not answer is not called while its engine answers. A
+call to a machine without power takes ``CALL_TIMEOUT_SECONDS`` to fail, and a map
+change makes half a dozen calls."""
+SEARCH_INTERVAL_SECONDS = 2.0
 """Least time between two looks for a missing rank among agents of other groups,
 which are as many calls again; a rank that joins takes longer to load anything."""
 
@@ -62,11 +62,11 @@
         self.targets = targets
         self.adapter = adapter
         self.channel = channel
-        self.calls = GroupCalls(channel)
-        self.said: dict[str, str] = {}
-        self.searched = float("-inf")
-        self.quiet = PassedOver(QUIET_SECONDS)
-        self.number = -1
+        self.caller = GroupCaller(channel)
+        self.reported_groups: dict[str, str] = {}
+        self.last_search_at = float("-inf")
+        self.skipped_agents = PassedOver(SKIP_AGENT_SECONDS)
+        self.targets_number = -1
         self.engines: dict[str, str] = {}
 
     def agents(self, group: str = ANY_GROUP) -> dict[str, Instance]:
@@ -78,7 +78,7 @@
         }
 
     def _may_be_in(self, row: Instance, group: str) -> bool:
-        known = self.said.get(row.address, row.group)
+        known = self.reported_groups.get(row.address, row.group)
         return ANY_GROUP in (group, known) or known == group
 
     async def call(
@@ -86,12 +86,12 @@
         path: str,
         messages: Mapping[str, object],
         answer: type[T],
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> dict[str, T]:
         """Send each address its message; return the answers that came."""
-        return await self.calls.call(path, messages, answer, seconds)
+        return await self.caller.call(path, messages, answer, seconds)
 
-    async def ask(
+    async def call_agent(
         self, address: str, path: str, message: object, answer: type[T]
     ) -> T | None:
         """Send one address a message; return the answer, ``None`` without one."""
@@ -117,7 +117,7 @@
         addresses = self.addresses(group)
         messages = {
             address: with_counts if address in counted else query
-            for address in self.quiet.others(addresses)
+            for address in self.skipped_agents.others(addresses)
         }
         answers = await self._query(messages)
         found = build_view(group, answers)
@@ -125,31 +125,31 @@
             return found
         if found.members and not found.broken:
             silent = frozenset(addresses) - frozenset(answers)
-            self.quiet.note(*silent & messages.keys())
+            self.skipped_agents.note(*silent & messages.keys())
             answers |= await self._ask_engines(silent, query)
             found = build_view(group, answers, silent)
         others = set(self.addresses()) - set(addresses)
         if not found.incomplete or not others or not self._may_search():
             return found
         answers |= await self._query(dict.fromkeys(others, query))
-        return build_view(group, answers, found.silent)
+        return build_view(group, answers, found.unresponsive)
 
     def _may_search(self) -> bool:
         """Tell whether a rank may be looked for in other groups, once in a while."""
         now = anyio.current_time()
-        if now < self.searched + SEARCH_SECONDS:
+        if now < self.last_search_at + SEARCH_INTERVAL_SECONDS:
             return False
-        self.searched = now
+        self.last_search_at = now
         return True
 
     async def _query(
-        self, messages: Mapping[str, RankQuery], seconds: float = CALL_SECONDS
+        self, messages: Mapping[str, RankQuery], seconds: float = CALL_TIMEOUT_SECONDS
     ) -> dict[str, RankAnswer]:
         """Ask agents for their ranks' states, and note the groups that they say."""
         answers = await self.call(QUERY_PATH, messages, RankAnswer, seconds)
         for address, answer in answers.items():
             if answer.state is not None:
-                self.said[address] = answer.state.group
+                self.reported_groups[address] = answer.state.group
         return answers
 
     async def view_with_engines(self, group: str) -> GroupView:
@@ -161,7 +161,9 @@
         """
         addresses = self.addresses(group)
         query = RankQuery(group=group)
-        answers = await self._query(dict.fromkeys(addresses, query), SILENT_SECONDS)
+        answers = await self._query(
+            dict.fromkeys(addresses, query), STALLED_CALL_TIMEOUT_SECONDS
+        )
         silent = frozenset(addresses) - frozenset(answers)
         answers |= await self._ask_engines(silent, query)
         return build_view(group, answers, silent)
@@ -179,10 +181,10 @@
                 logger.info("rank: neither agent nor engine answers: {}", error)
                 return RankAnswer(True)
 
-        answers = await self.at_engines(agents, ask)
+        answers = await self.call_engines(agents, ask)
         return dict.fromkeys(agents, RankAnswer(True)) | answers
 
-    async def at_engines(
+    async def call_engines(
         self, agents: Collection[str], call: Callable[[RankClient], Awaitable[T]]
     ) -> dict[str, T]:
         """
@@ -198,20 +200,20 @@
 
         async with anyio.create_task_group() as tasks:
             for address in agents:
-                engine = self.engine_beside(address)
+                engine = self.engine_of_agent(address)
                 if engine is None:
                     logger.info("rank: no engine is listed beside {}", address)
                 else:
                     tasks.start_soon(call_one, address, engine)
         return found
 
-    def engine_of_silent(self, member: Member, view: GroupView) -> RankClient | None:
+    def fallback_engine(self, member: Member, view: GroupView) -> RankClient | None:
         """Return the engine to order in the place of an agent without an answer."""
-        if member.address not in view.silent:
+        if member.address not in view.unresponsive:
             return None
-        return self.engine_beside(member.address)
+        return self.engine_of_agent(member.address)
 
-    def engine_beside(self, agent_address: str) -> RankClient | None:
+    def engine_of_agent(self, agent_address: str) -> RankClient | None:
         """Return the engine on the machine of an agent."""
         self._refresh_engines()
         address = self.engines.get(host_of(agent_address))
@@ -221,9 +223,9 @@
 
     def _refresh_engines(self) -> None:
         """Take over the listed targets, once a version of the list."""
-        if self.number == self.targets.number:
+        if self.targets_number == self.targets.number:
             return
-        self.number = self.targets.number
+        self.targets_number = self.targets.number
         self.engines = {}
         for name, raw in self.targets.items.items():
             try:
--- a/packages/agent/src/briarthread_agent/ranks/rank_planner.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_planner.py
@@ -1,14 +1,14 @@
-"""The planning of a group's map by the agent that has the seat."""
+"""The planning of a group's map by the agent that has the role."""
 
 import anyio
 
-from briarthread_agent.ranks.demand_watch import DemandWatch
+from briarthread_agent.ranks.demand_tracker import DemandTracker
 from briarthread_agent.ranks.group_view import GroupView
 from briarthread_agent.ranks.map_change import MapChange
-from briarthread_agent.ranks.map_finisher import MapFinisher
-from briarthread_agent.ranks.map_mover import MapMover
-from briarthread_agent.ranks.planner_seat import PlannerSeat
-from briarthread_agent.ranks.rank_keeper import RankKeeper
+from briarthread_agent.ranks.map_change_coordinator import MapChangeCoordinator
+from briarthread_agent.ranks.map_change_recovery import MapChangeRecovery
+from briarthread_agent.ranks.planner_role import PlannerRole
+from briarthread_agent.ranks.rank_controller import RankController
 from briarthread_agent.ranks.rank_peers import RankPeers
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.direct.direct_service import DirectService
@@ -23,25 +23,25 @@
 )
 from briarthread_common.placement.rank_loads import slowest_load
 
-LOOK_SECONDS = 0.35
+POLL_SECONDS = 0.35
 """Pause between two looks at a busy group: a few passes, in which some ten
 thousand choices of experts are counted."""
-LOOK_RANK_SECONDS = 0.006
+POLL_SECONDS_PER_RANK = 0.006
 """The same for each rank, so that looks at a large group leave its link free."""
-IDLE_SECONDS = 1.0
+IDLE_POLL_SECONDS = 1.0
 """The same while the group makes no passes."""
-BROKEN_SECONDS = 0.2
+BROKEN_POLL_SECONDS = 0.2
 """The same while the group is broken: it opens with the first map, and callers
 have been waiting for it."""
-BROKEN_RANK_SECONDS = 0.005
+BROKEN_POLL_SECONDS_PER_RANK = 0.005
 """The same for each rank, so that looks at a large group leave its link free."""
-SETTLING_SECONDS = 0.1
+PENDING_POLL_SECONDS = 0.1
 """The same while the change made last waits for its pass: the next one can be
 planned as soon as it is in force, and demand may have shifted meanwhile."""
-COUNTED_NUMBERS = 8000
+MAX_COUNTS_PER_POLL = 8000
 """Counts read at one look, all ranks together: some 25 KB, which the link of a
 target's instance carries in a few hundredths of a second."""
-LEAST_COUNTED = 8
+MIN_COUNTED_RANKS = 8
 """Ranks whose counts are read at each look at least."""
 
 
@@ -52,21 +52,21 @@
         self,
         service: str,
         routes: RouteView,
-        keeper: RankKeeper,
+        controller: RankController,
         peers: RankPeers,
-        seat: PlannerSeat,
+        role: PlannerRole,
         events: EventLog,
     ) -> None:
         self.service = service
         self.routes = routes
-        self.keeper = keeper
+        self.controller = controller
         self.peers = peers
-        self.seat = seat
+        self.role = role
         self.events = events
-        self.mover = MapMover(keeper, peers, events)
-        self.finisher = MapFinisher(keeper, peers, events)
+        self.coordinator = MapChangeCoordinator(controller, peers, events)
+        self.recovery = MapChangeRecovery(controller, peers, events)
         self.group = ANY_GROUP
-        self.watch: DemandWatch | None = None
+        self.demand_tracker: DemandTracker | None = None
         self.layers: Layers = []
         self.placed: tuple[int, int] | None = None
         self.version = 0
@@ -75,15 +75,15 @@
         self.opens = False
 
     async def run(self) -> None:
-        """Plan whenever the seat is this agent's, until cancelled."""
+        """Plan whenever the role is this agent's, until cancelled."""
         while True:
             service = self._service()
-            state = await self.keeper.own_state()
+            state = await self.controller.own_state()
             if service is None or service.experts is None or state is None:
-                await anyio.sleep(IDLE_SECONDS)
+                await anyio.sleep(IDLE_POLL_SECONDS)
                 continue
             self._take_up(state.group)
-            fence = await self.seat.wait(state.group, state.size)
+            fence = await self.role.acquire(state.group, state.size)
             if fence is None:
                 continue
             await anyio.sleep(await self._look(state.group, service, fence))
@@ -92,7 +92,7 @@
         """Forget what was known of another group that the rank was in before."""
         if group != self.group:
             self.group = group
-            self.watch, self.layers, self.placed = None, [], None
+            self.demand_tracker, self.layers, self.placed = None, [], None
             self.slow, self.opens = {}, False
 
     async def _look(self, group: str, service: DirectService, fence: int) -> float:
@@ -106,20 +106,22 @@
         view = await self.peers.view(group, query, self._counted(service))
         self.opens = self.opens or view.broken
         if view.fault:
-            return max(BROKEN_SECONDS, len(view.members) * BROKEN_RANK_SECONDS)
+            return max(
+                BROKEN_POLL_SECONDS, len(view.members) * BROKEN_POLL_SECONDS_PER_RANK
+            )
         self._note_slow(group, view)
-        if view.unsettled:
+        if view.change_pending:
             if not self._is_own_change(view):
-                await self.finisher.finish(group)
-            return SETTLING_SECONDS
-        pause = max(LOOK_SECONDS, len(view.members) * LOOK_RANK_SECONDS)
+                await self.recovery.recover(group)
+            return PENDING_POLL_SECONDS
+        pause = max(POLL_SECONDS, len(view.members) * POLL_SECONDS_PER_RANK)
         if not await self._know_map(group, service, view, fence):
             return pause
-        passes = self.watch.observe(view, anyio.current_time())
+        passes = self.demand_tracker.observe(view, anyio.current_time())
         if self.opens:
             self.opens, passes = False, FULL_PASS
         if passes is None:
-            return IDLE_SECONDS
+            return IDLE_POLL_SECONDS
         layers, loads, saved = await self._improve(service, view, passes)
         if loads:
             self.events.add(
@@ -132,9 +134,9 @@
         return pause
 
     def _is_own_change(self, view: GroupView) -> bool:
-        """Tell whether all that is unsettled is the change made last."""
+        """Tell whether all that is change_pending is the change made last."""
         own = None if self.placed is None else self.placed[1]
-        if view.held:
+        if view.held_passes:
             return False
         return all(
             own == (state.map_version if state.armed is None else state.armed.version)
@@ -150,7 +152,9 @@
         """
         figures = service.experts
         addresses = sorted(self.peers.addresses(self.group))
-        most = max(COUNTED_NUMBERS // (figures.sets * figures.experts), LEAST_COUNTED)
+        most = max(
+            MAX_COUNTS_PER_POLL // (figures.sets * figures.experts), MIN_COUNTED_RANKS
+        )
         if len(addresses) <= most:
             return addresses
         stride = len(addresses) // most
@@ -161,7 +165,7 @@
         ]
 
     def _note_slow(self, group: str, view: GroupView) -> None:
-        slow = view.slow()
+        slow = view.slow_ranks()
         if slow.keys() != self.slow.keys():
             self.events.add("ranks-slow", group, f"{slow or 'none'}")
         self.slow = slow
@@ -169,10 +173,10 @@
     async def _place(
         self, view: GroupView, fence: int, layers: Layers, passes: float
     ) -> None:
-        known = max(self.version, self.keeper.newest_version)
+        known = max(self.version, self.controller.newest_version)
         self.version = max(known, view.newest_version()) + 1
         change = MapChange(self.version, layers, self.placed[1], self.layers)
-        placed = await self.mover.place(view, fence, change, passes)
+        placed = await self.coordinator.apply(view, fence, change, passes)
         if placed:
             self.layers = layers
             self.placed = (view.epoch, self.version)
@@ -201,8 +205,8 @@
             [member.answer.experts[number] for member in asked.members]
             for number in range(figures.sets)
         ]
-        if self.watch is None or self.watch.figures != figures:
-            self.watch = DemandWatch(figures)
+        if self.demand_tracker is None or self.demand_tracker.figures != figures:
+            self.demand_tracker = DemandTracker(figures)
         self.placed = known
         return True
 
@@ -212,7 +216,7 @@
         """Return better layers, the experts to load and the seconds saved."""
         engine, figures = service.engine, service.experts
         length = PassLength(passes, engine.stride * engine.step_seconds)
-        demand = self.watch.demand(anyio.current_time())
+        demand = self.demand_tracker.demand(anyio.current_time())
         slowdown = [member.state.slowdown for member in view.members]
         slowest = [
             slowest_load(layer, counts, slowdown)
--- a/packages/standins/src/briarthread_standins/direct_agents.py
+++ b/packages/standins/src/briarthread_standins/direct_agents.py
@@ -130,7 +130,7 @@
             (
                 number
                 for number, agent in self.agents.items()
-                if agent.planner.seat.held() and self.group_of(number) is wanted
+                if agent.planner.role.is_held() and self.group_of(number) is wanted
             ),
             None,
         )
--- a/tests/fuzz/test_rank_maps.py
+++ b/tests/fuzz/test_rank_maps.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from briarthread_agent.ranks.held_pass import HeldPass
+from briarthread_agent.ranks.pass_id import PassId
 from briarthread_standins.direct_agents import GroupWorld
 from fuzz.ci_settings import CI_SETTINGS
 
@@ -72,7 +72,7 @@
 @pytest.fixture(autouse=True)
 def young_agents_know(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let agents know soon what was ordered, so that passes are taken back too."""
-    name = "briarthread_agent.ranks.rank_keeper.LATE_ORDER_SECONDS"
+    name = "briarthread_agent.ranks.rank_controller.LATE_ORDER_SECONDS"
     monkeypatch.setattr(name, LATEST_ORDER_SECONDS)
 
 
@@ -154,8 +154,8 @@
 async def freeze_planner_later(world: GroupWorld, fault: Fault) -> None:
     """Freeze the planner's instance some milliseconds after the next promise."""
 
-    def promised() -> list[HeldPass | None]:
-        return [agent.keeper.accepted for agent in world.agents.values()]
+    def promised() -> list[PassId | None]:
+        return [agent.controller.promised_pass for agent in world.agents.values()]
 
     before = promised()
     with anyio.move_on_after(PROMISE_SECONDS):
--- a/tests/ranks/test_group_calls.py
+++ b/tests/ranks/test_group_caller.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from briarthread_agent.ranks.group_calls import GroupCalls
+from briarthread_agent.ranks.group_caller import GroupCaller
 from briarthread_common.core.exceptions import BrokenCallError
 from briarthread_common.http.app import App, Route
 from briarthread_common.http.call import Call
@@ -36,7 +36,7 @@
             self._start(address)
 
     def _start(self, address: str) -> None:
-        calls = GroupCalls(self.network.channel(address, "palermo"))
+        calls = GroupCaller(self.network.channel(address, "palermo"))
 
         async def answer(call: Call) -> None:
             asked = await call.read_json(RankQuery, 1000)
@@ -51,7 +51,7 @@
 
         self.network.listen(address, "palermo", counted)
 
-    async def ask(self, calls: GroupCalls, counted: int) -> dict[str, RankAnswer]:
+    async def ask(self, calls: GroupCaller, counted: int) -> dict[str, RankAnswer]:
         """Ask all, the first ``counted`` of them for their counts too."""
         brief, full = RankQuery(1), RankQuery(1, with_counts=True)
         messages = {
@@ -65,7 +65,7 @@
     async with anyio.create_task_group() as tasks:
         network = FakeNetwork(tasks)
         group = AgentGroup(network, number)
-        await play(group, GroupCalls(network.channel(PLANNER, "palermo")))
+        await play(group, GroupCaller(network.channel(PLANNER, "palermo")))
         tasks.cancel_scope.cancel()
 
 
@@ -73,7 +73,7 @@
 def test_planner_calls_as_many_agents_as_the_root_of_a_large_group(
     number: int, own_calls: int
 ) -> None:
-    async def play(group: AgentGroup, calls: GroupCalls) -> None:
+    async def play(group: AgentGroup, calls: GroupCaller) -> None:
         answers = await group.ask(calls, counted=5)
         silences = [answers[address].planner_silence for address in group.addresses]
         assert silences == [2.0] * 5 + [1.0] * (number - 5)
@@ -84,7 +84,7 @@
 
 
 def test_agents_behind_one_that_is_frozen_answer_all_the_same() -> None:
-    async def play(group: AgentGroup, calls: GroupCalls) -> None:
+    async def play(group: AgentGroup, calls: GroupCaller) -> None:
         frozen = sorted(group.addresses)[0]
         group.network.freeze(frozen, True)
         answers = await group.ask(calls, counted=0)
@@ -100,7 +100,7 @@
 
 
 def test_agent_passes_on_nothing_but_the_calls_of_a_group() -> None:
-    async def play(group: AgentGroup, calls: GroupCalls) -> None:
+    async def play(group: AgentGroup, calls: GroupCaller) -> None:
         request = RelayRequest("/peer/v1/exchange", [], 1.0)
         with pytest.raises(BrokenCallError, match="answered 400"):
             await call_json(
--- a/tests/ranks/test_map_mover.py
+++ b/tests/ranks/test_map_change_coordinator.py
@@ -4,7 +4,7 @@
 
 from briarthread_agent.ranks.group_view import GroupView, build_view
 from briarthread_agent.ranks.map_change import MapChange
-from briarthread_agent.ranks.map_mover import MapMover
+from briarthread_agent.ranks.map_change_coordinator import MapChangeCoordinator
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.direct.rank_state import RankState
 from briarthread_common.messages.rank_messages import (
@@ -45,7 +45,7 @@
             },
         )
 
-    def engine_beside(self, address: str) -> "HoldersThatDoNotHold":
+    def engine_of_agent(self, address: str) -> "HoldersThatDoNotHold":
         self.at = address
         return self
 
@@ -53,7 +53,7 @@
         self.holds.append(self.at)
         return False
 
-    async def ask(
+    async def call_agent(
         self, address: str, path: str, message: object, answer: type
     ) -> OrderAnswer | None:
         if path == WITHDRAW_PATH:
@@ -71,15 +71,15 @@
 ) -> None:
     async def run() -> None:
         peers = HoldersThatDoNotHold(takes_back)
-        mover = MapMover(OwnRank(), peers, EventLog(Clock(), "agent"))
+        coordinator = MapChangeCoordinator(OwnRank(), peers, EventLog(Clock(), "agent"))
 
         async def staged(*_: object) -> bool:
             return True
 
-        mover._stage = staged
+        coordinator._stage = staged
         view = await peers.view("g", None)
         change = MapChange(2, [[[0], [1]]], 1, [[[1], [0]]])
-        assert not await mover.place(view, 1, change, 0.06)
+        assert not await coordinator.apply(view, 1, change, 0.06)
         assert peers.holds == list(ADDRESSES[1 : 1 + asked])
 
     run_virtual(run)
--- a/tests/ranks/test_map_changes.py
+++ b/tests/ranks/test_map_changes.py
@@ -170,11 +170,11 @@
 def test_outdated_planner_is_refused() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(2)
-        keeper = world.agents[0].keeper
-        newest = keeper.fence
+        controller = world.agents[0].controller
+        newest = controller.fence
         assert newest > 0
-        assert not (await keeper.query(RankQuery(newest - 1))).accepted
-        refused = await keeper.arm(ArmRequest(newest - 1, 1, 99, 10_000))
+        assert not (await controller.query(RankQuery(newest - 1))).accepted
+        refused = await controller.arm(ArmRequest(newest - 1, 1, 99, 10_000))
         assert not refused.taken
         assert all(rank.armed is None for rank in world.group.ranks)
 
@@ -313,7 +313,7 @@
         address = world.agent_address(2)
 
         async def ask(path: str, request: object) -> bool:
-            answer = await peers.ask(address, path, request, OrderAnswer)
+            answer = await peers.call_agent(address, path, request, OrderAnswer)
             return answer is not None and answer.taken
 
         for first, second in (
--- a/tests/ranks/test_reformed_groups.py
+++ b/tests/ranks/test_reformed_groups.py
@@ -84,6 +84,6 @@
         await break_group(world, 1.0)
         await anyio.sleep(2)
         assert world.planner() == planner
-        assert world.agents[planner].planner.seat.held()
+        assert world.agents[planner].planner.role.is_held()
 
     in_group_world(scenario)
--- a/tests/ranks/test_several_groups.py
+++ b/tests/ranks/test_several_groups.py
@@ -64,7 +64,7 @@
         before = world.groups[0].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[0], before)
-        assert not world.agents[frozen].planner.seat.held()
+        assert not world.agents[frozen].planner.role.is_held()
         assert world.planner(world.groups[1]) == other
         assert_one_map_a_pass(world)
 
@@ -137,14 +137,14 @@
 def test_agent_takes_no_order_of_another_groups_planner() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        keeper = world.agents[0].keeper
-        heard, fence = keeper.planner_heard, keeper.fence
-        answer = await keeper.query(RankQuery(fence + 5, group="g-1"))
+        controller = world.agents[0].controller
+        heard, fence = controller.planner_seen_at, controller.fence
+        answer = await controller.query(RankQuery(fence + 5, group="g-1"))
         assert answer.accepted
         assert answer.state.group == "g-0"
-        assert (keeper.planner_heard, keeper.fence) == (heard, fence)
+        assert (controller.planner_seen_at, controller.fence) == (heard, fence)
         order = ArmRequest(fence + 5, 1, 99, 10_000, group="g-1")
-        assert not (await keeper.arm(order)).taken
+        assert not (await controller.arm(order)).taken
         assert world.groups[0].ranks[0].armed is None
 
     in_group_world(scenario, skewed=False, sizes=(4, 4))
--- a/tests/ranks/test_silent_agents.py
+++ b/tests/ranks/test_silent_agents.py
@@ -95,10 +95,12 @@
     world: GroupWorld, seconds: float, hot: int = 6
 ) -> None:
     """Freeze the planner's instance from the promise of a pass on."""
-    promised = [agent.keeper.accepted for agent in world.agents.values()]
+    promised = [agent.controller.promised_pass for agent in world.agents.values()]
     prefer(world.group, hot)
     with anyio.fail_after(20):
-        while [agent.keeper.accepted for agent in world.agents.values()] == promised:
+        while [
+            agent.controller.promised_pass for agent in world.agents.values()
+        ] == promised:
             await anyio.sleep(0.0005)
     planner = world.planner()
     addresses = world.agent_address(planner), world.engine_address(planner)
