--- a/packages/agent/src/briarthread_agent/maps/__init__.py
+++ b/packages/agent/src/briarthread_agent/maps/__init__.py
@@ -1,1 +1,1 @@
-"""Keeping all ranks of a group on one expert map."""
+"""Agreement of all ranks of a group on one expert map."""
--- a/packages/agent/src/briarthread_agent/maps/engine_client.py
+++ b/packages/agent/src/briarthread_agent/maps/engine_client.py
@@ -1,4 +1,4 @@
-"""Orders from the agent to its engine."""
+"""Client for the agent's engine."""
 
 from briarthread_common.core.exceptions import BrokenCallError
 from briarthread_common.http.channel import Channel
@@ -15,16 +15,16 @@
 from briarthread_common.messages.map_report import ENGINE_REPORT_PATH, MapReport
 
 ORDER_TIMEOUT_SECONDS = 2.0
-"""Seconds within which an order arrives or never does."""
+"""Timeout of an order, after which it can no longer arrive."""
 STAGE_TIMEOUT_SECONDS = 120.0
 
 
 class EngineClient:
     """
-    Give orders under a fencing number and this agent's epoch.
+    Send orders with a fencing token and this agent's epoch.
 
-    ``highest_fence`` is the highest planner's number seen; an order under a
-    lower one is never sent, because some engines would take it.
+    ``highest_fence`` is the highest fencing token of a planner seen so far. Orders
+    with a lower one are never sent, because some engines would accept them.
     """
 
     def __init__(self, channel: Channel, address: str, epoch: int) -> None:
@@ -34,7 +34,7 @@
         self.highest_fence = 0
 
     async def state(self) -> EngineState:
-        """Return the engine's state; raise ChannelError if it is silent."""
+        """Return the engine's state; raise ChannelError if it does not answer."""
         return await call_json(
             self.channel,
             self.address,
@@ -46,7 +46,7 @@
         )
 
     async def report(self) -> MapReport:
-        """Return the engine's map and counts; raise ChannelError if silent."""
+        """Return the engine's map and counts; raise ChannelError without an answer."""
         return await call_json(
             self.channel,
             self.address,
@@ -66,9 +66,9 @@
         expert_map: ExpertMap | None = None,
     ) -> EngineState:
         """
-        Give an order and return the engine's state after it.
+        Send an order and return the engine's state after it.
 
-        Raise ChannelError when it was refused or its answer did not come.
+        Raise ChannelError if the order was refused or was not answered.
         """
         order = EngineOrder(
             kind,
@@ -92,5 +92,5 @@
             timeout,
         )
         if not answer.accepted:
-            raise BrokenCallError(f"engine refused {kind}: {answer.reason}")
+            raise BrokenCallError(f"engine refused the order {kind}: {answer.reason}")
         return answer.state
--- a/packages/agent/src/briarthread_agent/maps/group_peers.py
+++ b/packages/agent/src/briarthread_agent/maps/group_peers.py
@@ -1,4 +1,4 @@
-"""Questions to the other agents of a group."""
+"""Queries to the other agents of a group."""
 
 from typing import TypeVar
 
@@ -20,31 +20,31 @@
 
 
 class GroupPeers:
-    """Ask all other agents of a group the same question."""
+    """Send the same query to all other agents of a group."""
 
     def __init__(self, name: str, directory: Directory, channel: Channel) -> None:
         self.name = name
         self.directory = directory
         self.channel = channel
 
-    async def verdicts(self, group: Group, version: int) -> list[Verdict]:
-        """Return each other agent's verdict on a version."""
+    async def fetch_verdicts(self, group: Group, version: int) -> list[Verdict]:
+        """Return the verdict of each other agent on a version."""
         message = VerdictRequest(group.name, version)
-        answers = await self._ask(group, VERDICT_PATH, message, VerdictAnswer)
+        answers = await self._query(group, VERDICT_PATH, message, VerdictAnswer)
         return [answer.verdict if answer else Verdict.UNKNOWN for answer in answers]
 
-    async def standings(self, group: Group) -> list[Standing] | None:
-        """Return the standing of all others, ``None`` if one is silent."""
-        answers = await self._ask(group, STANDING_PATH, None, Standing)
+    async def fetch_standings(self, group: Group) -> list[Standing] | None:
+        """Return the standings of all other agents, or ``None`` if one is missing."""
+        answers = await self._query(group, STANDING_PATH, None, Standing)
         return None if None in answers else answers
 
-    async def _ask(
+    async def _query(
         self, group: Group, path: str, message: object, answer_type: type[T]
     ) -> list[T | None]:
-        """Return the answer of each other agent, ``None`` for a silent one."""
+        """Return the answer of each other agent, ``None`` for one without an answer."""
         rows = self.directory.all()
-        others = [name for name in group.targets if name != self.name]
-        addresses = [rows[name].address if name in rows else "" for name in others]
+        peers = [name for name in group.targets if name != self.name]
+        addresses = [rows[name].address if name in rows else "" for name in peers]
         answers = await call_many(
             self.channel,
             path,
--- a/packages/agent/src/briarthread_agent/maps/map_handlers.py
+++ b/packages/agent/src/briarthread_agent/maps/map_handlers.py
@@ -1,4 +1,4 @@
-"""What planners and other agents ask of the agent about its map."""
+"""Handlers for calls of planners and other agents about the engine's map."""
 
 from briarthread_agent.maps.map_participant import Decision, MapParticipant
 from briarthread_common.core.error_kind import ErrorKind
@@ -28,10 +28,10 @@
 
 class MapHandlers:
     """
-    Answer the calls about maps on behalf of a participant.
+    Handle the calls about maps for a participant.
 
-    Announcements, confirmations and verdicts are taken one at a time, since
-    each of them decides what the next one may be told.
+    Announcements, confirmations and requests for verdicts are processed one at a time,
+    since the result of each determines the answer to the next.
     """
 
     def __init__(self, participant: MapParticipant) -> None:
@@ -100,10 +100,10 @@
 
     async def _handle_verdict(self, call: Call) -> None:
         """
-        Say what is known of a version, promising to refuse an open one.
+        Return the verdict on a version; an undecided version is refused from then on.
 
-        What this agent has told its engine counts, also if it was another
-        incarnation that told it; so the engine is asked first.
+        Orders that the engine received from an earlier incarnation of this agent count
+        too, so the engine is queried first.
         """
         message = await call.read_json(VerdictRequest, MAX_MESSAGE_BYTES)
         async with self.participant.decision_lock:
@@ -170,14 +170,16 @@
         return MapAnswer(True, state.step)
 
     def _check_incarnation(self, incarnation: str) -> None:
-        """Refuse what was meant for the last agent of this slot."""
+        """Refuse a message that was sent to an earlier agent of this target."""
         if incarnation != self.participant.incarnation:
-            raise RequestError(ErrorKind.WRONG_INCARNATION, "for another incarnation")
+            raise RequestError(
+                ErrorKind.WRONG_INCARNATION, "message is for another incarnation"
+            )
 
     def _check_fence(self, fence: int) -> None:
-        """Refuse a planner whose lease another one has taken since."""
+        """Refuse a planner whose lease was taken over by another one."""
         if not self.participant.ready.is_set():
             raise RequestError(ErrorKind.NOT_READY, "engine is being taken over")
         if fence < self.participant.engine.highest_fence:
-            raise RequestError(ErrorKind.VERSION_CONFLICT, "old fencing number")
+            raise RequestError(ErrorKind.VERSION_CONFLICT, "outdated fencing token")
         self.participant.engine.highest_fence = fence
--- a/packages/agent/src/briarthread_agent/maps/map_participant.py
+++ b/packages/agent/src/briarthread_agent/maps/map_participant.py
@@ -1,4 +1,4 @@
-"""The agent's part in keeping a group on one expert map."""
+"""The agent's part in the agreement of a group on one expert map."""
 
 from enum import StrEnum
 
@@ -17,14 +17,14 @@
 from briarthread_common.text.text_view import TextView
 
 POLL_SECONDS = 0.05
-"""Seconds between looks at the engine while something is undecided."""
+"""Pause between two polls of the engine while a version is pending."""
 IDLE_POLL_SECONDS = 0.5
 HOLD_GRACE_SECONDS = 0.2
-"""Seconds for which a held engine waits for the planner's confirmation."""
+"""Time for which a held engine waits for the planner's confirmation."""
 
 
 class Decision(StrEnum):
-    """Tell how far this agent has gone with the pending version."""
+    """The agent's decision on the pending version."""
 
     ANNOUNCED = "announced"
     CONFIRMED = "confirmed"
@@ -33,14 +33,14 @@
 
 class MapParticipant:
     """
-    Let an engine change its map only together with all ranks of its group.
-
-    An announced version makes the engine hold before its first step. The
-    planner's confirmation, which it sends once all agents have acknowledged,
-    lets it go on with the new map. An agent whose engine is held without it
-    asks all others: one that has seen the confirmation decides for the new
-    map, promises of all others never to accept it decide for the old one,
-    and anything else decides nothing, so the engine goes on holding.
+    Switch an engine's map only together with all ranks of its group.
+
+    When a version is announced, the engine holds before the first step with it. The
+    planner confirms the version once all agents have acknowledged it, and the engine
+    then continues with the new map. An agent whose engine is held without a
+    confirmation queries all others. If any of them has seen the confirmation, the
+    engine switches to the new map; if all of them promise never to accept it, the
+    engine resumes with the old one; otherwise it keeps holding.
     """
 
     def __init__(
@@ -69,13 +69,13 @@
         return self.text.current().group_of(self.name)
 
     async def run(self) -> None:
-        """Take the engine over, then settle whatever holds it."""
+        """Take over the engine, then resolve pending versions until cancelled."""
         while self.group() is None:
             await anyio.sleep(IDLE_POLL_SECONDS)
         await self._take_over()
         while True:
             try:
-                await self._look_after()
+                await self._poll_engine()
             except ChannelError as error:
                 self.events.add("map-wait", self.name, str(error))
             pause = POLL_SECONDS if self.pending_version else IDLE_POLL_SECONDS
@@ -83,10 +83,10 @@
 
     async def _take_over(self) -> None:
         """
-        Shut out orders that the last agent of this slot may still have sent.
+        Fence off orders that an earlier agent of this target may still have sent.
 
-        An engine that checks fencing refuses them from the first order on.
-        One that ignores it is given the time in which they can arrive.
+        An engine that checks fencing tokens refuses them after the first new order. For
+        an engine that ignores them, wait until such orders can no longer arrive.
         """
         await anyio.sleep(ORDER_TIMEOUT_SECONDS)
         while True:
@@ -97,27 +97,27 @@
                 await anyio.sleep(IDLE_POLL_SECONDS)
         self.ready.set()
 
-    async def _look_after(self) -> None:
+    async def _poll_engine(self) -> None:
         state = await self.engine.state()
         if state.hold_for and not state.scheduled:
-            self._adopt(state)
-            await self._look_after_hold(state)
+            self._adopt_hold(state)
+            await self._handle_hold(state)
         elif state.version == NO_MAP:
-            await self._join()
+            await self._load_group_map()
         elif state.hold_for == NO_MAP and self.decision is not Decision.ANNOUNCED:
             self.pending_version = NO_MAP
 
-    async def _look_after_hold(self, state: EngineState) -> None:
+    async def _handle_hold(self, state: EngineState) -> None:
         if self.decision is Decision.CONFIRMED:
             await self.engine.order(OrderKind.SWITCH, state.hold_for)
         elif self.decision is Decision.REFUSED:
-            await self._settle(state.hold_for)
+            await self._resolve(state.hold_for)
         elif state.held:
             await anyio.sleep(HOLD_GRACE_SECONDS)
-            await self._settle(state.hold_for)
+            await self._resolve(state.hold_for)
 
-    def _adopt(self, state: EngineState) -> None:
-        """Take up a hold that the last agent of this slot has set."""
+    def _adopt_hold(self, state: EngineState) -> None:
+        """Adopt a hold that an earlier agent of this target has ordered."""
         if self.pending_version != state.hold_for:
             self.pending_version = state.hold_for
             self.refuse(state.hold_for)
@@ -128,19 +128,23 @@
         if version == self.pending_version:
             self.decision = Decision.REFUSED
 
-    async def _settle(self, version: int) -> None:
-        """Find out together with all others what becomes of a version."""
+    async def _resolve(self, version: int) -> None:
+        """Decide on a version from the verdicts of all other agents."""
         async with self.decision_lock:
             if self.pending_version != version or self.decision is Decision.CONFIRMED:
                 return
             self.refuse(version)
-        verdicts = await self.peers.verdicts(self.group(), version)
+        verdicts = await self.peers.fetch_verdicts(self.group(), version)
         if Verdict.CONFIRMED in verdicts:
-            await self._decide(version, OrderKind.SWITCH, "another had confirmed it")
+            await self._order_decision(
+                version, OrderKind.SWITCH, "confirmed by another agent"
+            )
         elif all(verdict is Verdict.REFUSED for verdict in verdicts):
-            await self._decide(version, OrderKind.RESUME, "nobody had confirmed it")
+            await self._order_decision(
+                version, OrderKind.RESUME, "refused by all other agents"
+            )
 
-    async def _decide(self, version: int, kind: OrderKind, reason: str) -> None:
+    async def _order_decision(self, version: int, kind: OrderKind, reason: str) -> None:
         if not await self.holds_for(version):
             return
         await self.engine.order(kind, version)
@@ -152,10 +156,10 @@
 
     async def holds_for(self, version: int) -> bool:
         """
-        Tell whether the engine holds for a version, or is to switch to it.
+        Return whether the engine holds for a version or is to switch to it.
 
-        One that was replaced meanwhile holds for nothing. If it ignores
-        fencing it might take a switch all the same, ahead of the others.
+        An engine that was replaced meanwhile holds for none. If it ignores fencing
+        tokens it might accept a switch nevertheless, before the other ranks switch.
         """
         try:
             state = await self.engine.state()
@@ -163,32 +167,34 @@
             return False
         return state.hold_for == version
 
-    async def _join(self) -> None:
+    async def _load_group_map(self) -> None:
         """
-        Give a rank that has just started the map of its group.
+        Load the group's map on a rank that has just started.
 
-        What is pending is settled first. What is decided for a later step
-        is loaded as such, or this rank would be ahead of the others.
+        Pending versions are resolved first. A version that is scheduled for a later
+        step is loaded as scheduled, or this rank would switch before the others.
         """
-        standings = await self.peers.standings(self.group())
+        standings = await self.peers.fetch_standings(self.group())
         if standings is None:
             return
         pending = {row.pending for row in standings if row.pending}
         for version in pending:
-            await self._settle_for_join(version)
-        loaded = {
+            await self._refuse_before_load(version)
+        active_maps = {
             (row.version, row.scheduled, row.switch_step)
             for row in standings
             if row.version
         }
-        if pending or len(loaded) > 1:
+        if pending or len(active_maps) > 1:
             return
-        version, scheduled, step = loaded.pop() if loaded else (FIRST_MAP, NO_MAP, 0)
+        version, scheduled, step = (
+            active_maps.pop() if active_maps else (FIRST_MAP, NO_MAP, 0)
+        )
         await self.engine.order(OrderKind.LOAD, version, step, scheduled)
         self.events.add("map-load", f"map/{version}", "as the rest of the group")
 
-    async def _settle_for_join(self, version: int) -> None:
-        """Promise to refuse a version, and make the others say what they know."""
+    async def _refuse_before_load(self, version: int) -> None:
+        """Refuse a version and request the verdicts of the other agents on it."""
         async with self.decision_lock:
             self.refuse(version)
-        await self.peers.verdicts(self.group(), version)
+        await self.peers.fetch_verdicts(self.group(), version)
--- a/packages/agent/src/briarthread_agent/ranks/__init__.py
+++ b/packages/agent/src/briarthread_agent/ranks/__init__.py
@@ -1,1 +1,1 @@
-"""Maps of a group whose ranks take orders from their own agents only."""
+"""Maps of groups whose ranks take orders only from their own agents."""
--- a/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
+++ b/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
@@ -1,4 +1,4 @@
-"""What a group's ranks chose of late, and how long its passes are."""
+"""Recent expert demand and pass duration of a group."""
 
 from briarthread_agent.ranks.group_view import GroupView
 from briarthread_agent.ranks.rank_demand import HALF_LIFE_SECONDS
@@ -6,18 +6,22 @@
 from briarthread_common.messages.rank_messages import RankAnswer
 
 MAX_ANSWER_AGE_SECONDS = 6 * HALF_LIFE_SECONDS
-"""How much older than the newest word one may be to count at all; of a group that
-was away for long, all words are old and the newest still are the best guess."""
+"""
+Maximum age of an answer relative to the newest one.
+
+The age is not measured from the current time: after a long outage of a group all
+answers are old, and the newest ones are still the best estimate.
+"""
 MIN_PASSES = 2
-"""Passes between two looks under which their length says nothing."""
+"""Number of passes between two polls below which their mean is not meaningful."""
 
 
 class DemandTracker:
     """
-    Join what ranks say of their recent choices into the group's demand.
+    Merge the recent expert counts of ranks into the demand of their group.
 
-    Of a large group only some ranks are asked at each look; what the others
-    said before counts on, less with its age.
+    In a large group only some ranks are asked in each poll. The earlier answers of
+    the others keep counting, with a weight that decays with their age.
     """
 
     def __init__(self, figures: ExpertFigures) -> None:
@@ -27,10 +31,10 @@
 
     def observe(self, view: GroupView, now: float) -> float | None:
         """
-        Take in what a view says; return the mean pass since the last one.
+        Record the counts of a view; return the mean pass duration since the last one.
 
-        Return ``None`` when there was no other view of the same forming of
-        the group, or the group made next to no passes since.
+        Return ``None`` if there is no earlier view of the same epoch, or if the group
+        has made fewer than ``MIN_PASSES`` passes since.
         """
         size = self.figures.sets * self.figures.experts
         for member in view.members:
@@ -43,14 +47,20 @@
         return (now - last[2]) / passes if passes >= MIN_PASSES else None
 
     def demand(self, now: float) -> list[list[float]]:
-        """Return how much each expert of each set is in demand."""
+        """Return the demand for each expert of each set."""
         experts = self.figures.experts
-        flat = [0.0] * (self.figures.sets * experts)
-        newest = max((at for at, _ in self.answers.values()), default=now)
-        for at, answer in self.answers.values():
-            if newest - at > MAX_ANSWER_AGE_SECONDS:
+        totals = [0.0] * (self.figures.sets * experts)
+        newest = max(
+            (answered_at for answered_at, _ in self.answers.values()), default=now
+        )
+        for answered_at, answer in self.answers.values():
+            if newest - answered_at > MAX_ANSWER_AGE_SECONDS:
                 continue
-            weight = answer.count_unit * 0.5 ** ((now - at) / HALF_LIFE_SECONDS)
+            weight = answer.count_unit * 0.5 ** (
+                (now - answered_at) / HALF_LIFE_SECONDS
+            )
             for number, count in enumerate(answer.counts):
-                flat[number] += count * weight
-        return [flat[n * experts : (n + 1) * experts] for n in range(self.figures.sets)]
+                totals[number] += count * weight
+        return [
+            totals[n * experts : (n + 1) * experts] for n in range(self.figures.sets)
+        ]
--- a/packages/agent/src/briarthread_agent/ranks/direct_agent.py
+++ b/packages/agent/src/briarthread_agent/ranks/direct_agent.py
@@ -1,4 +1,4 @@
-"""The agent beside a direct target, put together."""
+"""The agent that runs next to a direct target."""
 
 import random
 from pathlib import Path
@@ -38,13 +38,13 @@
 from briarthread_common.utils.clock import Clock
 
 CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
-"""Engines on the same machine, peers and the store answer in milliseconds."""
+"""Timeouts are short: the engine, peers and the store answer in milliseconds."""
 GROUP_CHECK_SECONDS = 1.0
-"""How often the group of the own rank is compared with the one that is listed."""
+"""How often the group of the agent's rank is compared with the registered one."""
 
 
 class DirectAgent:
-    """Hold the parts of one agent and its ASGI application."""
+    """Create the components of one agent and its ASGI application."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(channel, settings.store)
-        self.spreader = FollowingSpreader(
+        self.replicator = FollowingSpreader(
             settings.spread,
             self.feeds,
             self.directory,
@@ -85,7 +85,7 @@
         pages = StatusPages(Metrics(), self.events, self._ready, self._status)
         self.app = App(
             [
-                Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
+                Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
                 *self.controller.routes(),
                 *self.peers.caller.routes(),
                 *pages.routes(),
@@ -94,66 +94,66 @@
 
     def start(self, tasks: TaskGroup) -> None:
         """Start the background tasks in a task group."""
-        tasks.start_soon(self.spreader.run)
+        tasks.start_soon(self.replicator.run)
         tasks.start_soon(self._run_when_started)
 
     def apply(self, settings: DirectAgentSettings) -> None:
-        """Take over settings read anew; addresses stay until a restart."""
+        """Apply reloaded settings; addresses do not change until a restart."""
         set_up_logs(settings.log_level, settings.log_json)
 
     async def drain(self) -> None:
-        """Stop at once: nobody waits for an agent beside its target."""
+        """Stop immediately, since no caller waits for a direct target's agent."""
         logger.info("agent: stopping")
         self.controller.reporter.close()
 
     async def _run_when_started(self) -> None:
-        await self.spreader.started.wait()
+        await self.replicator.started.wait()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._keep_listed)
+            tasks.start_soon(self._maintain_registration)
             tasks.start_soon(self.controller.poll_counts)
             tasks.start_soon(self.recovery.run)
             tasks.start_soon(self.planner.run)
 
-    async def _keep_listed(self) -> None:
-        """Enter the agent in the list, anew when its rank is in another group."""
+    async def _maintain_registration(self) -> None:
+        """Register the agent, and again whenever its rank's group changes."""
         await self.controller.own_state()
-        listed: Instance | None = None
+        registered: Instance | None = None
         while True:
-            row = self._row()
-            if row != listed:
+            row = self._instance_row()
+            if row != registered:
                 await list_itself(row, self.directory, self.store)
-                listed = row
+                registered = row
             await anyio.sleep(GROUP_CHECK_SECONDS)
 
-    def _row(self) -> Instance:
-        """Return the agent's row, with the group last known while none is said."""
-        before = self.directory.all().get(self.settings.name)
-        known = "" if before is None else before.group
+    def _instance_row(self) -> Instance:
+        """Return the agent's row, with the last known group if none is reported."""
+        previous = self.directory.all().get(self.settings.name)
+        last_group = "" if previous is None else previous.group
         return Instance(
             self.settings.name,
             self.settings.data_centre,
             self.settings.listen,
             InstanceRole.TARGET,
             self.settings.service,
-            group=self.controller.group or known,
+            group=self.controller.group or last_group,
         )
 
     def _ready(self) -> str:
-        return "" if self.spreader.started.is_set() else "starting"
+        return "" if self.replicator.started.is_set() else "starting"
 
     def _status(self) -> dict[str, object]:
         return {
             "name": self.settings.name,
             "role": "agent beside a target",
             "versions": self.feeds.versions(),
-            "platform": "up" if self.spreader.platform_up else "down",
+            "platform": "up" if self.replicator.platform_up else "down",
             "planner": self.controller.fence,
             "plans": self.planner.role.is_held(),
         }
 
 
 async def serve_direct(settings: DirectAgentSettings, path: Path) -> None:
-    """Run the agent until a signal stops it; SIGHUP reads its file anew."""
+    """Run the agent until a signal stops it; SIGHUP reloads its settings file."""
     adapter = load_adapter(settings.adapter)
     listener = open_listener(settings.listen)
     agent = DirectAgent(
--- a/packages/agent/src/briarthread_agent/ranks/group_caller.py
+++ b/packages/agent/src/briarthread_agent/ranks/group_caller.py
@@ -1,12 +1,12 @@
 """
-Calls to all agents of a group, by way of some of them.
-
-It answers groups of dozens to hundreds of ranks. A planner that calls each agent
-itself is kept busy by nothing else, and the link of its instance fills: before
-129 ranks one look took a quarter of a second of its processor and 90 KB. So the
-agents are taken in bundles, and one agent of each calls the others of its batch
-and joins their answers. An agent that does not do that is passed over for a
-while, and those of its batch are called directly.
+Calls to all agents of a group, relayed by some of them.
+
+Groups may have dozens to hundreds of ranks. A planner that called every agent itself
+would do nothing else, and the link of its instance would fill up: with 129 ranks one
+poll took a quarter of a second of processor time and 90 KB. The agents are therefore
+split into batches, and one agent of each batch, the relay, calls the others and merges
+their answers. An agent that fails to relay calls is not used as a relay for a while,
+and the agents of its batch are called directly.
 """
 
 import math
@@ -36,113 +36,126 @@
 
 T = TypeVar("T")
 MAX_DIRECT_CALLS = 24
-"""Agents up to which each is called directly: so many calls take some hundredths
-of a second, and a detour would cost as much."""
+"""
+Number of agents up to which each is called directly.
+
+That many calls take a few hundredths of a second, and relaying would cost as much.
+"""
 MIN_RELAY_BATCH = 3
-"""Agents under which a batch is called directly."""
+"""Number of agents below which a batch is called directly."""
 RELAYED_TIMEOUT_SHARE = 0.6
-"""Part of the time for a call that those who are called by way of another have."""
+"""Share of the timeout of a call that a relay has for calling its batch."""
 RELAY_EXCLUSION_SECONDS = 5.0
-"""How long an agent that did not pass calls on is passed over."""
+"""Time for which an agent that failed as a relay is not used as one."""
 
 
 class GroupCaller:
-    """Call the agents of one group and pass on the calls of others."""
+    """Call the agents of one group and relay the calls of other agents."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
         self.excluded_relays = PassedOver(RELAY_EXCLUSION_SECONDS)
 
     def routes(self) -> list[Route]:
-        """Return the routes of those who have calls passed on."""
+        """Return the route on which other agents request that calls be relayed."""
         return [json_route(RELAY_PATH, RelayRequest, self.handle_relay, MAX_RANK_BODY)]
 
     async def call(
         self,
         path: str,
         messages: Mapping[str, object],
-        answer: type[T],
+        answer_type: type[T],
         seconds: float,
     ) -> dict[str, T]:
-        """Send each address its message; return the answers that came."""
+        """Send each address its message; return the received answers by address."""
         if len(messages) <= MAX_DIRECT_CALLS:
             return await call_many(
-                self.channel, path, messages, answer, seconds, packed=True
+                self.channel, path, messages, answer_type, seconds, packed=True
             )
         answers: dict[str, T] = {}
 
-        async def call_bundle(batch: list[str]) -> None:
-            part = {address: messages[address] for address in batch}
-            answers.update(await self._call_bundle(path, part, answer, seconds))
+        async def call_and_merge(batch: list[str]) -> None:
+            batch_messages = {address: messages[address] for address in batch}
+            answers.update(
+                await self._call_batch(path, batch_messages, answer_type, seconds)
+            )
 
         async with anyio.create_task_group() as tasks:
             for batch in split_into_batches(messages):
-                tasks.start_soon(call_bundle, batch)
+                tasks.start_soon(call_and_merge, batch)
         return answers
 
-    async def _call_bundle(
-        self, path: str, messages: dict[str, object], answer: type[T], seconds: float
+    async def _call_batch(
+        self,
+        path: str,
+        messages: dict[str, object],
+        answer_type: type[T],
+        seconds: float,
     ) -> dict[str, T]:
-        head = self._head(list(messages))
-        if head is not None:
+        relay = self._choose_relay(list(messages))
+        if relay is not None:
             try:
                 return await self._call_through_relay(
-                    head, path, messages, answer, seconds
+                    relay, path, messages, answer_type, seconds
                 )
             except ChannelError as error:
-                logger.info("rank: {} does not pass calls on: {}", head, error)
-                self.excluded_relays.note(head)
+                logger.info("rank: {} failed to relay calls: {}", relay, error)
+                self.excluded_relays.note(relay)
         return await call_many(
-            self.channel, path, messages, answer, seconds, packed=True
+            self.channel, path, messages, answer_type, seconds, packed=True
         )
 
-    def _head(self, batch: list[str]) -> str | None:
-        """Return the agent that is to call the others of a batch, if any."""
-        sound = self.excluded_relays.others(batch)
-        return sound[0] if sound and len(batch) >= MIN_RELAY_BATCH else None
+    def _choose_relay(self, batch: list[str]) -> str | None:
+        """Return the agent that is to relay calls to a batch, or ``None``."""
+        candidates = self.excluded_relays.others(batch)
+        return candidates[0] if candidates and len(batch) >= MIN_RELAY_BATCH else None
 
     async def _call_through_relay(
         self,
-        head: str,
+        relay: str,
         path: str,
         messages: dict[str, object],
-        answer: type[T],
+        answer_type: type[T],
         seconds: float,
     ) -> dict[str, T]:
-        relayed = RelayRequest(path, _joined(messages), seconds * RELAYED_TIMEOUT_SHARE)
-        found = await call_json(
+        relay_request = RelayRequest(
+            path, _group_by_message(messages), seconds * RELAYED_TIMEOUT_SHARE
+        )
+        relay_answer = await call_json(
             self.channel,
-            head,
+            relay,
             "POST",
             RELAY_PATH,
-            relayed,
+            relay_request,
             RelayAnswer,
             seconds,
             packed=True,
         )
         answers: dict[str, T] = {}
-        for address in messages.keys() & found.answers.keys():
+        for address in messages.keys() & relay_answer.answers.keys():
             try:
                 answers[address] = msgspec.json.decode(
-                    found.answers[address], type=answer
+                    relay_answer.answers[address], type=answer_type
                 )
             except msgspec.MsgspecError as error:
-                logger.info("rank: broken answer of {}: {}", address, error)
+                logger.info("rank: invalid answer from {}: {}", address, error)
         return answers
 
-    async def handle_relay(self, asked: RelayRequest) -> RelayAnswer:
-        """Call others for another agent and join their answers."""
-        if asked.path not in GROUP_PATHS:
-            raise RequestError(ErrorKind.BAD_REQUEST, f"{asked.path} is not passed on")
+    async def handle_relay(self, request: RelayRequest) -> RelayAnswer:
+        """Call agents on behalf of another one and return their answers."""
+        if request.path not in GROUP_PATHS:
+            raise RequestError(ErrorKind.BAD_REQUEST, f"{request.path} is not relayed")
         messages = {
-            address: one.message for one in asked.messages for address in one.addresses
+            address: relayed.message
+            for relayed in request.messages
+            for address in relayed.addresses
         }
         answers = await call_many(
             self.channel,
-            asked.path,
+            request.path,
             messages,
             msgspec.Raw,
-            asked.seconds,
+            request.seconds,
             packed=True,
         )
         return RelayAnswer(answers)
@@ -150,7 +163,7 @@
 
 def split_into_batches(addresses: Mapping[str, object]) -> list[list[str]]:
     """
-    Return addresses in about as many bundles as each has members.
+    Split addresses into about as many batches as each batch has members.
 
     >>> addresses = {f"a{n:03}": 0 for n in range(129)}
     >>> [len(batch) for batch in split_into_batches(addresses)]
@@ -161,12 +174,12 @@
     return [ordered[start : start + size] for start in range(0, len(ordered), size)]
 
 
-def _joined(messages: dict[str, object]) -> list[RelayedMessage]:
-    """Return messages with all addresses that get the same one."""
-    by_identity: dict[int, tuple[object, list[str]]] = {}
+def _group_by_message(messages: dict[str, object]) -> list[RelayedMessage]:
+    """Group addresses that are sent the same message object."""
+    by_object_id: dict[int, tuple[object, list[str]]] = {}
     for address, message in messages.items():
-        by_identity.setdefault(id(message), (message, []))[1].append(address)
+        by_object_id.setdefault(id(message), (message, []))[1].append(address)
     return [
         RelayedMessage(addresses, msgspec.Raw(msgspec.json.encode(message)))
-        for message, addresses in by_identity.values()
+        for message, addresses in by_object_id.values()
     ]
--- a/packages/agent/src/briarthread_agent/ranks/group_view.py
+++ b/packages/agent/src/briarthread_agent/ranks/group_view.py
@@ -1,4 +1,4 @@
-"""What the ranks of a group said at one time."""
+"""A view of a group, built from the answers of its ranks at one time."""
 
 from dataclasses import dataclass
 
@@ -8,33 +8,36 @@
 from briarthread_common.utils.host_of import host_of
 
 SLOW_RANK_FACTOR = 1.5
-"""How many times longer than usual a rank must take to count as slow: less
-costs callers less than leaving the rank out would."""
+"""
+Slowdown from which a rank counts as slow.
+
+Below this, a slow rank costs callers less than excluding it would.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One rank's answer, and the address of the agent that gave it."""
+    """The answer of one rank and the address of its agent."""
 
     address: str
     answer: RankAnswer
 
     @property
     def state(self) -> RankState:
-        """Return the rank's state, which every member of a view has."""
+        """Return the rank's state, which is set in every member of a view."""
         if self.answer.state is None:
-            raise ValueError(f"{self.address} gave no state")
+            raise ValueError(f"answer of {self.address} contains no rank state")
         return self.answer.state
 
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
     """
-    Hold the answers of all ranks of a group in the order of the ranks.
+    Hold the answers of all ranks of a group, ordered by rank.
 
-    ``fault`` says why the group cannot be changed now, or is empty. ``unresponsive``
-    holds the addresses of agents that gave no answer, so that their engines
-    were asked instead.
+    ``fault`` is the reason why the group's map cannot be changed now, or empty.
+    ``unresponsive`` contains the addresses of agents that did not answer and whose
+    engines were queried instead.
     """
 
     members: tuple[Member, ...]
@@ -43,27 +46,27 @@
 
     @property
     def epoch(self) -> int:
-        """Return how often the group was formed."""
+        """Return the group's epoch: the number of times that it was formed."""
         return self.members[0].state.epoch
 
     @property
     def step(self) -> int:
-        """Return the last pass that any rank has begun."""
+        """Return the latest pass that any rank has begun."""
         return max(member.state.step for member in self.members)
 
     @property
     def incomplete(self) -> bool:
-        """Tell whether some rank of the group did not answer."""
+        """Return whether any rank of the group did not answer."""
         return not self.members or len(self.members) < self.members[0].state.size
 
     @property
     def held_passes(self) -> set[PassId]:
-        """Return the passes that some rank holds."""
+        """Return the passes that are held by any rank."""
         return {PassId.held_by(member.state) for member in self.members} - {None}
 
     @property
     def change_pending(self) -> bool:
-        """Tell whether a change was begun and not brought to its end."""
+        """Return whether a map change was begun and is not complete yet."""
         return any(
             member.state.armed is not None or member.state.held is not None
             for member in self.members
@@ -71,11 +74,11 @@
 
     @property
     def broken(self) -> bool:
-        """Tell whether some rank says that the group does not serve."""
+        """Return whether any rank reports that the group is not serving."""
         return _is_broken(self.members)
 
     def slow_ranks(self) -> dict[str, float]:
-        """Return the ranks that are clearly slow by their host, see GroupReport."""
+        """Return the slowdown of each slow rank by host, see GroupReport."""
         return {
             host_of(member.address): round(member.state.slowdown, 2)
             for member in self.members
@@ -84,9 +87,9 @@
 
     def newest_version(self) -> int:
         """
-        Return the highest version that any rank names or was ever sent.
+        Return the highest version that any rank reports or was ever sent.
 
-        A rank takes none up to that, also one that comes from another group.
+        Ranks reject all versions up to it, also a rank that joined from another group.
         """
         return max(
             max(
@@ -99,7 +102,9 @@
 
 
 def build_view(
-    group: str, answers: dict[str, RankAnswer], silent: frozenset[str] = frozenset()
+    group: str,
+    answers: dict[str, RankAnswer],
+    unresponsive: frozenset[str] = frozenset(),
 ) -> GroupView:
     """Return the view of a group from its agents' answers by address."""
     members = tuple(
@@ -112,7 +117,7 @@
             key=lambda member: member.state.rank,
         )
     )
-    return GroupView(members, _fault(members, answers), silent)
+    return GroupView(members, _fault(members, answers), unresponsive)
 
 
 def _is_broken(members: tuple[Member, ...]) -> bool:
@@ -121,7 +126,7 @@
 
 def _fault(members: tuple[Member, ...], answers: dict[str, RankAnswer]) -> str:
     if not all(answer.accepted for answer in answers.values()):
-        return "a newer planner was heard"
+        return "a newer planner is active"
     if not members:
         return "no rank answered"
     size = members[0].state.size
--- a/packages/agent/src/briarthread_agent/ranks/map_change.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change.py
@@ -1,4 +1,4 @@
-"""A new map of a group, and the one that it changes."""
+"""A change from a group's active map to a new one."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 @dataclass(frozen=True, slots=True)
 class MapChange:
     """
-    Hold a map's version and layers, and those of the map in force.
+    Hold the version and layers of a new map and of the active map, its base.
 
     >>> change = MapChange(2, [[[0], [1, 0]]], 1, [[[0], [1]]])
     >>> change.differences()
@@ -25,14 +25,14 @@
     base_layers: Layers
 
     def round_robin_base(self) -> DealtMap | None:
-        """Describe the map in force if it deals experts out to ranks in turn."""
+        """Describe the base map if it assigns experts to ranks round-robin."""
         ranks = len(self.base_layers[0])
         experts = len({expert for rank in self.base_layers[0] for expert in rank})
-        found = DealtMap(len(self.base_layers), experts, ranks)
-        return found if round_robin_layers(found) == self.base_layers else None
+        candidate = DealtMap(len(self.base_layers), experts, ranks)
+        return candidate if round_robin_layers(candidate) == self.base_layers else None
 
     def differences(self) -> list[RankExperts]:
-        """Return what each rank holds otherwise than before."""
+        """Return the ranks whose experts differ from the base, with their experts."""
         return [
             RankExperts(number, rank, experts)
             for number, (layer, before) in enumerate(
@@ -45,7 +45,7 @@
 
 def round_robin_layers(dealt: DealtMap) -> Layers:
     """
-    Return the layers of a map that deals experts out to ranks in turn.
+    Return the layers of a map that assigns experts to ranks round-robin.
 
     >>> round_robin_layers(DealtMap(sets=1, experts=5, ranks=2))
     [[[0, 2, 4], [1, 3]]]
@@ -54,8 +54,8 @@
 
 
 def apply_differences(base: Layers, differences: list[RankExperts]) -> Layers:
-    """Return the layers of a map from those that it changes."""
+    """Return the layers of a base map with differences applied to them."""
     layers = [[list(experts) for experts in layer] for layer in base]
-    for changed in differences:
-        layers[changed.number][changed.rank] = list(changed.experts)
+    for difference in differences:
+        layers[difference.number][difference.rank] = list(difference.experts)
     return layers
--- a/packages/agent/src/briarthread_agent/ranks/map_stager.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_stager.py
@@ -1,4 +1,4 @@
-"""The loading of a new map by every rank of a group."""
+"""Staging of a new map on every rank of a group."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -17,22 +17,29 @@
 )
 
 MAX_STAGE_ATTEMPTS = 4
-"""How often a rank that did not take the order to load is ordered anew. One
-that took an order without an answer refuses the next, and loads all the same."""
+"""
+Number of times that a rank which did not accept the order is ordered to load.
+
+A rank that accepted an order without an answer rejects the next one, and loads the
+map all the same.
+"""
 MAX_FULL_MAPS_AT_ONCE = 12
-"""Agents that are sent a whole map at a time: some 120 KB for a group of 63."""
+"""Agents that are sent a full map at once; it has about 120 KB for 63 ranks."""
 POLL_SECONDS = 0.08
-"""Pause between two looks at the ranks while they load."""
+"""Pause between two queries of the ranks while they load."""
 POLL_SECONDS_PER_RANK = 0.0015
-"""The same for each rank, so that looks at a large group leave its link free."""
+"""The same pause per rank, so that polling a large group does not fill the link."""
 ORDER_SECONDS_PER_RANK = 0.015
-"""Time for the orders of one round, for each rank: before 129 ranks the changes of
-a map come to some 15 KB, which are sent to a dozen agents and by these to a dozen
-each, over links of 3 Mbit/s."""
+"""
+Timeout per rank for the orders of one round.
+
+For 129 ranks the differences of a map take about 15 KB, which are sent to a dozen
+relays and by each of them to a dozen agents, over links of 3 Mbit/s.
+"""
 
 
 class MapStager:
-    """Order the ranks of a group to load a map until all have it."""
+    """Order the ranks of a group to load a map until all have loaded it."""
 
     def __init__(
         self, peers: RankPeers, view: GroupView, fence: int, change: MapChange
@@ -42,11 +49,11 @@
         self.fence = fence
         self.change = change
         self.group = view.members[0].state.group
-        self.missing = {member.address for member in view.members}
+        self.unordered = {member.address for member in view.members}
         self.unresponsive = view.unresponsive
-        self.whole: set[str] = set()
-        self.tries: Counter[str] = Counter()
-        self.brief = StageRequest(
+        self.needs_full_map: set[str] = set()
+        self.attempts: Counter[str] = Counter()
+        self.delta_request = StageRequest(
             fence,
             view.epoch,
             change.version,
@@ -55,7 +62,7 @@
             dealt=change.round_robin_base(),
             group=self.group,
         )
-        self.full = StageRequest(
+        self.full_request = StageRequest(
             fence,
             view.epoch,
             change.version,
@@ -65,7 +72,7 @@
         )
 
     async def run(self) -> bool:
-        """Return whether all ranks have loaded the map."""
+        """Order the ranks until all have loaded the map; return whether they have."""
         pause = max(POLL_SECONDS, len(self.view.members) * POLL_SECONDS_PER_RANK)
         while True:
             await self._order()
@@ -73,62 +80,65 @@
             if not current.fault and current.epoch != self.view.epoch:
                 return False
             self.unresponsive = current.unresponsive
-            lacking = self._lacking(current)
-            if not lacking and not current.fault:
+            not_loaded = self._not_loaded(current)
+            if not not_loaded and not current.fault:
                 return True
-            self._forget_loaded(current)
+            self._discard_loaded(current)
             if any(
-                self.tries[one] >= MAX_STAGE_ATTEMPTS for one in lacking & self.missing
+                self.attempts[address] >= MAX_STAGE_ATTEMPTS
+                for address in not_loaded & self.unordered
             ):
                 return False
             await anyio.sleep(pause)
 
     async def _order(self) -> None:
-        """Order those that have not taken the order yet."""
-        silent = self.missing & self.unresponsive
-        if silent:
-            await self._order_engines(silent)
-        reached = self.missing - silent
-        whole = sorted(reached & self.whole)[:MAX_FULL_MAPS_AT_ONCE]
-        messages = dict.fromkeys(reached - self.whole, self.brief)
-        messages |= dict.fromkeys(whole, self.full)
+        """Send the order to the ranks that have not accepted it yet."""
+        agents = self.unordered & self.unresponsive
+        if agents:
+            await self._order_engines(agents)
+        reached = self.unordered - agents
+        full_maps = sorted(reached & self.needs_full_map)[:MAX_FULL_MAPS_AT_ONCE]
+        messages = dict.fromkeys(reached - self.needs_full_map, self.delta_request)
+        messages |= dict.fromkeys(full_maps, self.full_request)
         if not messages:
             return
-        self.tries.update(messages.keys())
+        self.attempts.update(messages.keys())
         seconds = max(CALL_TIMEOUT_SECONDS, len(messages) * ORDER_SECONDS_PER_RANK)
         answers = await self.peers.call(STAGE_PATH, messages, OrderAnswer, seconds)
         for address, answer in answers.items():
             if answer.taken:
-                self.missing.discard(address)
+                self.unordered.discard(address)
             elif answer.lacks_base:
-                self.whole.add(address)
-                self.tries[address] = 0
+                self.needs_full_map.add(address)
+                self.attempts[address] = 0
 
-    async def _order_engines(self, silent: Collection[str]) -> None:
-        """Order the engines beside silent agents, each until it took the order."""
-        self.tries.update(silent)
+    async def _order_engines(self, agents: Collection[str]) -> None:
+        """Order the engines of unresponsive agents that have not accepted it yet."""
+        self.attempts.update(agents)
         epoch, change = self.view.epoch, self.change
 
         async def order(engine: RankClient) -> bool:
             return await engine.prepare(epoch, change.version, change.layers)
 
-        taken = await self.peers.call_engines(silent, order)
-        self.missing -= {address for address, took in taken.items() if took}
+        accepted = await self.peers.call_engines(agents, order)
+        self.unordered -= {
+            address for address, has_accepted in accepted.items() if has_accepted
+        }
 
     @property
     def repeated(self) -> bool:
-        """Tell whether some rank had to be ordered more than once."""
-        return any(tries > 1 for tries in self.tries.values())
+        """Return whether any rank had to be ordered more than once."""
+        return any(attempts > 1 for attempts in self.attempts.values())
 
-    def _lacking(self, view: GroupView) -> set[str]:
-        """Return the addresses of ranks that say they have not loaded the map."""
+    def _not_loaded(self, view: GroupView) -> set[str]:
+        """Return the addresses of ranks that report not to have loaded the map."""
         return {
             member.address
             for member in view.members
             if member.state.prepared != self.change.version
         }
 
-    def _forget_loaded(self, view: GroupView) -> None:
-        """Order those no more that have loaded the map, answered or not."""
-        seen = {member.address for member in view.members}
-        self.missing -= seen - self._lacking(view)
+    def _discard_loaded(self, view: GroupView) -> None:
+        """Stop ordering the ranks that report the map as loaded."""
+        reported = {member.address for member in view.members}
+        self.unordered -= reported - self._not_loaded(view)
--- a/packages/agent/src/briarthread_agent/ranks/planner_role.py
+++ b/packages/agent/src/briarthread_agent/ranks/planner_role.py
@@ -1,4 +1,4 @@
-"""Which agent plans the maps of a group."""
+"""Selection of the agent that plans the maps of a group."""
 
 import anyio
 from loguru import logger
@@ -15,28 +15,39 @@
 from briarthread_common.utils.hashing import rendezvous_order
 
 PLANNER_TIMEOUT_SECONDS = 2.0
-"""Silence of a planner after which the next agent in order takes its place; a
-planner asks several times a second, and once a second while its group is idle."""
+"""
+Time without a planner's query after which the next agent in order takes the role.
+
+A planner queries several times a second, and once a second while its group is idle.
+"""
 STAGGER_SECONDS = 0.5
-"""Additional silence for each place further back in the order."""
+"""Additional time for each further position in the order."""
 POLL_SECONDS = 0.5
 MIN_KNOWN_SHARE = 0.8
-"""Part of a group's agents that are known to one that takes its seat at once; the
-rest may be dead."""
+"""
+Share of a group's agents that an agent must know to take the role without waiting.
+
+The remaining agents may have failed.
+"""
 
 MIN_ANSWERS = 2
-"""Agents, itself among them, that must answer one that takes the seat: who reaches
-nobody is cut off itself, and would take it once the cut is over."""
+"""
+Number of agents, itself included, that must answer an agent that takes the role.
+
+An agent that reaches no other is disconnected itself, and would take the role as
+soon as it is connected again.
+"""
 
 
 class PlannerRole:
     """
-    Hold the duty of planning, or wait until its holder falls silent.
+    Hold the planner role of a group, or wait until its holder stops querying.
 
-    The seat is one row of the platform's store, taken by compare-and-set. It
-    has no expiry: its holder keeps it while the platform is away, and whoever
-    takes it over has a higher fencing number, which every agent checks. An
-    agent that was cut off has heard nothing either, so it asks others first.
+    The role is a row in the platform's store that is acquired by compare-and-set. It
+    does not expire: its holder keeps it while the platform is unavailable. An agent
+    that takes it over gets a higher fencing token, which every agent checks. An agent
+    that was disconnected has received no queries either, so it asks other agents
+    before it takes the role.
     """
 
     def __init__(
@@ -55,26 +66,30 @@
         self.started = anyio.current_time()
 
     def is_held(self) -> bool:
-        """Tell whether this agent plans its group and no newer planner was heard."""
-        own = self.group == self.controller.group
-        return own and self.fence != NO_FENCE and self.controller.fence <= self.fence
+        """Return whether this agent plans its group and has seen no newer planner."""
+        in_own_group = self.group == self.controller.group
+        return (
+            in_own_group
+            and self.fence != NO_FENCE
+            and self.controller.fence <= self.fence
+        )
 
     async def acquire(self, group: str, size: int) -> int | None:
         """
-        Return the fencing number once the seat of a group is this agent's.
+        Wait for the planner role of a group and return its fencing token.
 
-        Return ``None`` when its rank has left the group.
+        Return ``None`` if the agent's rank has left the group.
         """
         while not self.is_held():
             if self.controller.group != group:
                 return None
-            if self._silence() > self._patience(group, size):
-                await self._take_unless_heard(group, size)
+            if self._planner_silence() > self._takeover_delay(group, size):
+                await self._take_if_vacant(group, size)
             if not self.is_held():
                 await anyio.sleep(POLL_SECONDS)
         return self.fence
 
-    async def _take_unless_heard(self, group: str, size: int) -> None:
+    async def _take_if_vacant(self, group: str, size: int) -> None:
         view = await self.peers.view(group, RankQuery())
         if any(
             m.answer.planner_silence < PLANNER_TIMEOUT_SECONDS for m in view.members
@@ -83,7 +98,9 @@
             return
         answered = {member.address for member in view.members} - view.unresponsive
         if len(answered) < min(size, MIN_ANSWERS):
-            logger.debug("planner: {} agents answer, no seat is taken", len(answered))
+            logger.debug(
+                "planner: role not taken, only {} agents answered", len(answered)
+            )
             return
         await self._take(group)
 
@@ -91,27 +108,32 @@
         try:
             fence = await self.store.take_seat(f"maps/{group}", self.name)
         except PlatformError as error:
-            logger.debug("planner: seat not taken: {}", error)
+            logger.debug("planner: role not taken: {}", error)
             return
         if fence is not None and fence > self.controller.fence:
             self.group, self.fence = group, fence
-            logger.info("planner: plans {} as number {}", group, fence)
+            logger.info(
+                "planner: took the planner role of group {}, fencing token {}",
+                group,
+                fence,
+            )
 
-    def _silence(self) -> float:
+    def _planner_silence(self) -> float:
         return anyio.current_time() - max(self.controller.planner_seen_at, self.started)
 
-    def _patience(self, group: str, size: int) -> float:
+    def _takeover_delay(self, group: str, size: int) -> float:
         """
-        Return the silence after which this agent takes the seat.
+        Return the time without a planner after which this agent takes the role.
 
-        One that knows but a part of its peers may not be the first of them, and
-        when a whole deployment starts that is so of all.
+        An agent that knows only some of its peers may not be the first in the order.
+        When a whole deployment starts, this is true of every agent.
         """
-        names = list(self.peers.agents(group))
-        order = rendezvous_order(f"maps/{group}", names)
-        place = order.index(self.name) if self.name in order else len(order)
-        first_ever = (
-            self.controller.fence == NO_FENCE and len(names) >= size * MIN_KNOWN_SHARE
+        agent_names = list(self.peers.agents(group))
+        order = rendezvous_order(f"maps/{group}", agent_names)
+        position = order.index(self.name) if self.name in order else len(order)
+        no_planner_yet = (
+            self.controller.fence == NO_FENCE
+            and len(agent_names) >= size * MIN_KNOWN_SHARE
         )
-        first = 0.0 if first_ever else PLANNER_TIMEOUT_SECONDS
-        return first + STAGGER_SECONDS * (place + 1)
+        base = 0.0 if no_planner_yet else PLANNER_TIMEOUT_SECONDS
+        return base + STAGGER_SECONDS * (position + 1)
--- a/packages/agent/src/briarthread_agent/ranks/rank_controller.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_controller.py
@@ -1,4 +1,4 @@
-"""The agent's side of every change of its rank's map."""
+"""The agent's handling of orders and queries for its own rank."""
 
 import operator
 
@@ -40,37 +40,58 @@
 
 NEVER = float("-inf")
 REPORT_INTERVAL_SECONDS = 0.1
-"""Shortest time between two reports to an entry: some passes."""
+"""Minimum time between two reports to an entry, which is a few passes."""
 COUNT_POLL_SECONDS = 0.5
-"""How often the counts are read where no planner asks for them; it is free at
-the rank's own agent, and older choices would count as recent otherwise."""
+"""
+How often the counts are read while no planner requests them.
+
+Reading is cheap for the rank's own agent. With longer pauses, old choices would
+count as recent.
+"""
 POLL_SECONDS_PER_COUNT = 0.00025
-"""The same for each number read: before 129 ranks, with 4,128 numbers each, a read
-takes a millisecond or two of an agent, and few ranks are asked at a look."""
+"""
+Minimum of the same interval for each count that is read.
+
+With 129 ranks, which report 4,128 counts each, a read takes an agent one to two
+milliseconds, and a planner requests the counts of only a few ranks per poll.
+"""
 LATE_ORDER_SECONDS = 15.0
-"""How long after its start an agent cannot know what the one before it ordered: an
-order without an answer may be carried out seconds later."""
+"""
+Time after its start in which an agent cannot rule out orders of its predecessor.
+
+An order without an answer may be carried out seconds later.
+"""
 SLOW_RANKS_TTL_SECONDS = 3.0
-"""Age past which a planner's word on slow ranks counts no more. It asks each
-second at least, and more often while the group is busy."""
+"""
+Time since the last query of a planner after which its slow ranks expire.
+
+A planner queries at least once a second, and more often while the group is busy.
+"""
 
 
 class RankController:
     """
-    Order one rank's engine for whoever plans its group.
-
-    An engine takes orders from anyone and does not check who gives them, so
-    the agent does: it obeys the planners of its rank's own group only, and none
-    with a lower fencing number than the highest that has asked it. ``group`` is
-    the group that the rank named last; each has numbers of its own. What the
-    rank says of itself, not the answer to an order, tells whether the order was
-    carried out. ``accepted`` is the held pass that a planner was promised to find
-    held, ``withdrawn`` the last one that was let go instead, ``arming`` the last one
-    that the rank was ordered to be armed for, ``revoked`` the last one for which it
-    will not be when a planner asks, ``finishing`` the last one for which this agent
-    began to arm others in a planner's place, each with its epoch.
-    ``newest_version`` is the highest version of a map that any planner has sent;
-    a rank may refuse those up to it even after its group has formed anew.
+    Forward the orders of a group's planner to the engine of one rank.
+
+    An engine accepts orders from anyone, so the agent authorizes them: it accepts
+    only planners of its rank's own group, and none with a lower fencing token than
+    the highest that it has seen. Whether an order was carried out is read from the
+    rank's state and not from the answer to the order.
+
+    ``group`` is the group that the rank reported last; each group has its own
+    fencing tokens. ``newest_version`` is the highest version of a map that any
+    planner has sent; a rank may refuse versions up to it even after its group was
+    formed again.
+
+    Each of these identifies a pass together with its epoch:
+
+    * ``promised_pass``: the agent promised a planner that this pass stays held.
+    * ``withdrawn_pass``: the last pass that was released instead.
+    * ``arming_pass``: the last pass that the rank was ordered to be armed for.
+    * ``revoked_pass``: the last pass for which the agent refuses to arm the rank
+      when a planner requests it.
+    * ``recovering_pass``: the last pass for which this agent began to arm other
+      ranks in place of a planner.
     """
 
     def __init__(self, engine: RankClient) -> None:
@@ -94,7 +115,7 @@
         self.reporter = ReportStream(self.report, operator.eq, REPORT_INTERVAL_SECONDS)
 
     def routes(self) -> list[Route]:
-        """Return the routes of the planner's calls."""
+        """Return the routes that planners, other agents and entries call."""
         return [
             json_route(QUERY_PATH, RankQuery, self.query),
             json_route(STAGE_PATH, StageRequest, self.stage, MAX_RANK_BODY),
@@ -108,29 +129,33 @@
 
     @property
     def fence(self) -> int:
-        """Return the highest fencing number heard of the rank's own group."""
+        """Return the highest fencing token seen in the rank's current group."""
         return self.fences.get(self.group, NO_FENCE)
 
     def report(self) -> GroupReport:
-        """Return what entries are told of the group."""
-        heard = anyio.current_time() - self.planner_seen_at <= SLOW_RANKS_TTL_SECONDS
-        return GroupReport(self.serving, self.slow_ranks if heard else {}, self.group)
+        """Return the report on the group that entries receive."""
+        planner_active = (
+            anyio.current_time() - self.planner_seen_at <= SLOW_RANKS_TTL_SECONDS
+        )
+        return GroupReport(
+            self.serving, self.slow_ranks if planner_active else {}, self.group
+        )
 
-    async def query(self, asked: RankQuery) -> RankAnswer:
-        """Return the rank's state, and what else was asked for."""
+    async def query(self, request: RankQuery) -> RankAnswer:
+        """Return the rank's state and the optional parts that were requested."""
         state = await self.own_state()
-        if not self._is_member(asked.group):
+        if not self._is_member(request.group):
             return RankAnswer(True, state, newest_version=self.newest_version)
-        if asked.fence != NO_FENCE:
-            if not self._obeys(asked.group, asked.fence):
+        if request.fence != NO_FENCE:
+            if not self._accepts_planner(request.group, request.fence):
                 return RankAnswer(False)
             self.planner_seen_at = anyio.current_time()
-            self.slow_ranks = self.slow_ranks if asked.slow is None else asked.slow
+            self.slow_ranks = self.slow_ranks if request.slow is None else request.slow
         if state is None:
             return RankAnswer(True)
         try:
-            counts = await self._read_counts() if asked.with_counts else []
-            experts = await self.engine.experts() if asked.with_experts else []
+            counts = await self._read_counts() if request.with_counts else []
+            experts = await self.engine.experts() if request.with_experts else []
         except RankError as error:
             logger.debug("rank: {}", error)
             return RankAnswer(True)
@@ -140,43 +165,43 @@
             True, state, counts, experts, silence, unit, self.newest_version
         )
 
-    async def stage(self, asked: StageRequest) -> OrderAnswer:
-        """Have the rank load what it lacks for a map."""
-        if not self._obeys(asked.group, asked.fence):
+    async def stage(self, request: StageRequest) -> OrderAnswer:
+        """Order the rank to load the experts that it lacks for a map."""
+        if not self._accepts_planner(request.group, request.fence):
             return OrderAnswer(False)
-        self.newest_version = max(self.newest_version, asked.version)
-        base = self.layers_by_version.get((asked.epoch, asked.base))
-        if base is None and asked.dealt is not None:
-            base = round_robin_layers(asked.dealt)
-        layers = asked.layers
+        self.newest_version = max(self.newest_version, request.version)
+        base = self.layers_by_version.get((request.epoch, request.base))
+        if base is None and request.dealt is not None:
+            base = round_robin_layers(request.dealt)
+        layers = request.layers
         if not layers and base is not None:
-            layers = apply_differences(base, asked.differences)
+            layers = apply_differences(base, request.differences)
         if not layers:
             return OrderAnswer(False, lacks_base=True)
-        self._remember(asked, layers)
-        taken = await self.engine.prepare(asked.epoch, asked.version, layers)
+        self._store_layers(request, layers)
+        taken = await self.engine.prepare(request.epoch, request.version, layers)
         return OrderAnswer(taken)
 
-    async def accept(self, asked: AcceptRequest) -> OrderAnswer:
-        """Promise a planner that the pass its rank holds stays held, if it does."""
+    async def accept(self, request: AcceptRequest) -> OrderAnswer:
+        """Promise a planner that a pass stays held if the rank holds it now."""
         state = await self.own_state()
-        if not self._obeys(asked.group, asked.fence):
+        if not self._accepts_planner(request.group, request.fence):
             return OrderAnswer(False)
-        held = PassId(asked.epoch, asked.step)
+        held = PassId(request.epoch, request.step)
         if (
             state is None
             or PassId.held_by(state) != held
             or self.withdrawn_pass == held
         ):
             return OrderAnswer(False, state)
-        self.promised_pass, self.promised_to = held, asked.planner
+        self.promised_pass, self.promised_to = held, request.planner
         return OrderAnswer(True, state)
 
     async def release_unpromised(self, held: PassId) -> bool:
         """
-        Let a held pass go that no planner was promised; tell whether it went.
+        Release a held pass unless it was promised; return whether it was released.
 
-        No rank is armed for it then, and none will be.
+        No rank is armed for an unpromised pass, and none will be once it is released.
         """
         if self.promised_pass == held:
             return False
@@ -185,36 +210,41 @@
         state = await self.own_state()
         return state is not None and PassId.held_by(state) != held
 
-    async def withdraw(self, asked: WithdrawRequest) -> OrderAnswer:
-        """Promise a planner that a pass will never be promised, if it was not."""
-        held = PassId(asked.epoch, asked.step)
-        if self._obeys(asked.group, asked.fence):
+    async def withdraw(self, request: WithdrawRequest) -> OrderAnswer:
+        """Promise a planner that a pass not promised so far will never be."""
+        held = PassId(request.epoch, request.step)
+        if self._accepts_planner(request.group, request.fence):
             await self.release_unpromised(held)
         return OrderAnswer(self.withdrawn_pass == held)
 
-    async def arm(self, asked: ArmRequest) -> OrderAnswer:
-        """Have the rank switch to a loaded map as a pass begins."""
-        if not self._obeys(asked.group, asked.fence):
+    async def arm(self, request: ArmRequest) -> OrderAnswer:
+        """Order the rank to switch to a loaded map when a pass begins."""
+        if not self._accepts_planner(request.group, request.fence):
             return OrderAnswer(False)
-        due = PassId(asked.epoch, asked.step)
-        if self.revoked_pass == due and not asked.finishes:
+        due = PassId(request.epoch, request.step)
+        if self.revoked_pass == due and not request.finishes:
             return OrderAnswer(False, await self.own_state())
         self.arming_pass = due
-        await self.engine.arm(asked.epoch, asked.version, asked.step)
+        await self.engine.arm(request.epoch, request.version, request.step)
         state = await self.own_state()
-        armed = ArmedMap(asked.version, asked.step)
+        armed = ArmedMap(request.version, request.step)
         return OrderAnswer(state is not None and state.armed == armed, state)
 
-    async def revoke(self, asked: RevokeRequest) -> OrderAnswer:
-        """Promise never to arm the rank for a pass because a planner asks for it."""
-        due = PassId(asked.epoch, asked.step)
+    async def revoke(self, request: RevokeRequest) -> OrderAnswer:
+        """
+        Promise to refuse planners' requests to arm the rank for a pass.
+
+        Decline if the rank is armed, if the agent has ordered that for this pass, or
+        if its predecessor may have done so.
+        """
+        due = PassId(request.epoch, request.step)
         state = await self.own_state()
-        young = anyio.current_time() < self.started + LATE_ORDER_SECONDS
+        orders_unknown = anyio.current_time() < self.started + LATE_ORDER_SECONDS
         armed = state is None or state.armed is not None
         if (
-            not self._is_member(asked.group)
+            not self._is_member(request.group)
             or armed
-            or young
+            or orders_unknown
             or self.arming_pass == due
         ):
             return OrderAnswer(False, state)
@@ -222,20 +252,20 @@
         return OrderAnswer(True, state)
 
     async def release_promised(self, held: PassId) -> None:
-        """Let a promised pass go for which no rank is armed and none will be."""
+        """Release a promised pass for which no rank is armed and none will be."""
         self.promised_pass, self.withdrawn_pass = None, held
         await self.engine.go(held.epoch, held.step)
 
-    async def go(self, asked: GoRequest) -> OrderAnswer:
-        """Let the group begin a pass that this rank holds."""
-        if not self._is_member(asked.group):
+    async def go(self, request: GoRequest) -> OrderAnswer:
+        """Order the rank to release a pass that it holds."""
+        if not self._is_member(request.group):
             return OrderAnswer(False)
-        await self.engine.go(asked.epoch, asked.step)
+        await self.engine.go(request.epoch, request.step)
         state = await self.own_state()
-        return OrderAnswer(state is not None and state.held != asked.step, state)
+        return OrderAnswer(state is not None and state.held != request.step, state)
 
     async def own_state(self) -> RankState | None:
-        """Return the rank's state, ``None`` when it gives none."""
+        """Return the rank's state, or ``None`` if it cannot be read."""
         try:
             return await self._read_state()
         except RankError as error:
@@ -243,10 +273,12 @@
             return None
 
     async def poll_counts(self) -> None:
-        """Take in the rank's counts now and then, until cancelled."""
+        """Read the rank's counts periodically until cancelled."""
         while True:
-            numbers = len(self.demand.totals)
-            await anyio.sleep(max(COUNT_POLL_SECONDS, numbers * POLL_SECONDS_PER_COUNT))
+            count_total = len(self.demand.totals)
+            await anyio.sleep(
+                max(COUNT_POLL_SECONDS, count_total * POLL_SECONDS_PER_COUNT)
+            )
             try:
                 await self._read_counts()
             except RankError as error:
@@ -256,14 +288,14 @@
         self.demand.update(anyio.current_time(), await self.engine.counts())
         return self.demand.recent_counts()
 
-    def _remember(self, asked: StageRequest, layers: Layers) -> None:
-        """Keep the map and the one that it changes, of this forming only."""
-        kept = {asked.base, asked.version}
-        self.layers_by_version[asked.epoch, asked.version] = layers
+    def _store_layers(self, request: StageRequest, layers: Layers) -> None:
+        """Store a map and keep its base, both of the current epoch only."""
+        kept = {request.base, request.version}
+        self.layers_by_version[request.epoch, request.version] = layers
         self.layers_by_version = {
-            key: known
-            for key, known in self.layers_by_version.items()
-            if key[0] == asked.epoch and key[1] in kept
+            key: stored
+            for key, stored in self.layers_by_version.items()
+            if key[0] == request.epoch and key[1] in kept
         }
 
     async def _read_state(self) -> RankState:
@@ -274,12 +306,14 @@
             raise
         self.serving = state.serving
         if state.group != self.group:
-            self._join(state.group)
+            self._join_group(state.group)
         return state
 
-    def _join(self, group: str) -> None:
-        """Forget what was heard and promised in the group that the rank has left."""
-        logger.info("rank: in group {}, was in {}", group, self.group or "none known")
+    def _join_group(self, group: str) -> None:
+        """Clear the state that belongs to the group that the rank has left."""
+        logger.info(
+            "rank: joined group {}, was in {}", group, self.group or "no known group"
+        )
         self.group = group
         self.planner_seen_at = NEVER
         self.promised_pass = self.withdrawn_pass = self.recovering_pass = None
@@ -289,12 +323,20 @@
     def _is_member(self, group: str) -> bool:
         return group in (ANY_GROUP, self.group)
 
-    def _obeys(self, group: str, fence: int) -> bool:
+    def _accepts_planner(self, group: str, fence: int) -> bool:
         if not self._is_member(group):
-            logger.info("rank: refused a planner of {}, is in {}", group, self.group)
+            logger.info(
+                "rank: refused a planner of group {}, the rank is in {}",
+                group,
+                self.group,
+            )
             return False
         if fence < self.fence:
-            logger.info("rank: refused planner {}, {} is newer", fence, self.fence)
+            logger.info(
+                "rank: refused a planner with fencing token {}, the highest is {}",
+                fence,
+                self.fence,
+            )
             return False
         self.fences[self.group] = fence
         return True
--- a/packages/agent/src/briarthread_agent/ranks/rank_demand.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_demand.py
@@ -1,30 +1,40 @@
-"""What one rank's requests chose of late."""
+"""The experts that one rank's requests chose recently."""
 
 import operator
 
 from briarthread_common.placement.popularity import Popularity
 
 HALF_LIFE_SECONDS = 0.8
-"""Seconds after which a choice counts half: demand shifts every few seconds,
-and some ten thousand choices are made in one."""
+"""
+Time after which the weight of a choice has halved.
+
+Demand shifts every few seconds, and about ten thousand choices are made per second.
+"""
 MAX_IDLE_HALVINGS = 2.0
-"""How often choices are halved at most while the rank makes no new ones: what
-was liked before an outage is the best guess of what is liked after it, and a
-rank without requests must not outweigh those that have some."""
+"""
+Maximum number of times that counts are halved while the rank makes no choices.
+
+The demand before an outage is the best estimate of the demand after it, but a rank
+without requests must not outweigh ranks that have some.
+"""
 MAX_EXACT_COUNTS = 1000
-"""Numbers up to which counts are told as they are, in some 4 KB."""
+"""Number of counts up to which they are reported exactly, in about 4 KB."""
 SCALED_MEAN_COUNT = 8
-"""Mean of the counts that are told of more numbers, so that each takes two bytes;
-experts in demand, with many times the mean, are still told within some hundredths."""
+"""
+Mean to which counts are scaled if there are more of them.
+
+Each count then takes two bytes. Popular experts, with many times the mean, are still
+reported with an error of a few hundredths.
+"""
 
 
 class RankDemand:
     """
-    Turn a rank's running totals into recent choices of experts.
+    Convert a rank's running totals into recent counts of expert choices.
 
-    A rank counts from its start, so where one total fell all are of a new start.
-    A rank that chooses nothing keeps a part of what it chose before. Times are
-    the runtime's seconds.
+    A rank counts from its start, so if any total has decreased, the rank has
+    restarted. A rank that makes no choices keeps a part of its earlier counts. Times
+    are in seconds of the event loop's clock.
 
     >>> demand = RankDemand()
     >>> demand.update(1.0, [5, 100])
@@ -43,36 +53,38 @@
         self.idle_seconds = 0.0
 
     def update(self, now: float, totals: list[int]) -> None:
-        """Take in the totals that the rank gives now."""
-        before, self.totals = self.totals, totals
-        if len(before) != len(totals):
+        """Update the counts from the rank's current totals."""
+        previous, self.totals = self.totals, totals
+        if len(previous) != len(totals):
             self.popularity = Popularity(1, len(totals), HALF_LIFE_SECONDS)
             self.popularity.updated = now
             return
-        fresh = list(map(operator.sub, totals, before))
-        if min(fresh, default=0) < 0:
-            fresh = totals
-        self._age(now, idle=not any(fresh))
-        self.popularity.add(now, [fresh])
+        new_counts = list(map(operator.sub, totals, previous))
+        if min(new_counts, default=0) < 0:
+            new_counts = totals
+        self._limit_decay(now, idle=not any(new_counts))
+        self.popularity.add(now, [new_counts])
 
-    def _age(self, now: float, idle: bool) -> None:
-        """Let a long time without choices count as a short one."""
+    def _limit_decay(self, now: float, idle: bool) -> None:
+        """Limit the decay of the counts during a long time without choices."""
         if not idle:
             self.idle_seconds = 0.0
             return
-        passed = now - self.popularity.updated
-        counted = min(passed, MAX_IDLE_HALVINGS * HALF_LIFE_SECONDS - self.idle_seconds)
-        self.idle_seconds += counted
-        self.popularity.updated = now - counted
+        elapsed = now - self.popularity.updated
+        decay_seconds = min(
+            elapsed, MAX_IDLE_HALVINGS * HALF_LIFE_SECONDS - self.idle_seconds
+        )
+        self.idle_seconds += decay_seconds
+        self.popularity.updated = now - decay_seconds
 
     def count_unit(self) -> float:
-        """Return how many choices one of the recent counts stands for."""
+        """Return the number of choices that one count unit stands for."""
         counts = self.popularity.counts[0]
         if len(counts) <= MAX_EXACT_COUNTS:
             return 1.0
         return max(sum(counts) / (SCALED_MEAN_COUNT * len(counts)), 1.0)
 
     def recent_counts(self) -> list[int]:
-        """Return how often each expert was chosen of late, set by set, in units."""
+        """Return the recent count of each expert, set by set, in count units."""
         unit = self.count_unit()
         return [round(count / unit) for count in self.popularity.counts[0]]
--- a/packages/agent/src/briarthread_agent/ranks/rank_peers.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_peers.py
@@ -1,4 +1,4 @@
-"""Calls to the agents of a group, and to engines whose agents are silent."""
+"""Calls to the agents of a group, and to engines whose agents are unresponsive."""
 
 from collections.abc import Awaitable, Callable, Collection, Mapping
 from dataclasses import replace
@@ -27,26 +27,37 @@
 
 T = TypeVar("T")
 CALL_TIMEOUT_SECONDS = 0.6
-"""Longest wait for an agent, which asks an engine on its own machine."""
+"""Timeout of a call to an agent, which calls an engine on its own machine."""
 STALLED_CALL_TIMEOUT_SECONDS = 0.3
-"""The same while the group stands still, when an agent that is frozen or dead
-must not keep it waiting; its engine is asked then."""
+"""
+Timeout of a call to an agent while the group is stalled.
+
+An agent that has frozen or crashed must not delay the group further; its engine is
+queried instead.
+"""
 SKIP_AGENT_SECONDS = 0.7
-"""How long an agent that did not answer is not called while its engine answers. A
-call to a machine without power takes ``CALL_TIMEOUT_SECONDS`` to fail, and a map
-change makes half a dozen calls."""
+"""
+Time for which an agent that did not answer is skipped; its engine is queried.
+
+A call to a machine without power takes ``CALL_TIMEOUT_SECONDS`` to fail, and a map
+change makes half a dozen calls.
+"""
 SEARCH_INTERVAL_SECONDS = 2.0
-"""Least time between two looks for a missing rank among agents of other groups,
-which are as many calls again; a rank that joins takes longer to load anything."""
+"""
+Minimum time between two searches for a missing rank in other groups.
+
+A search calls the agents of all other groups too. A rank that joins a group takes
+longer than this to load any experts.
+"""
 
 
 class RankPeers:
     """
-    Reach the agents of the ranks of one service, those of one group by its name.
+    Call the agents of one service's ranks, or those of one of its groups.
 
-    The list of instances says which group an agent's rank is in, and what an agent
-    answers goes before it: the list is seconds old, and older while the platform is
-    away. One of which neither says a group may be in any.
+    The group of an agent's rank is read from the agent's last answer, or else from
+    the list of instances, which is seconds old, and older while the platform is
+    unavailable. A rank whose group is unknown may be in any group.
     """
 
     def __init__(
@@ -70,7 +81,7 @@
         self.engines: dict[str, str] = {}
 
     def agents(self, group: str = ANY_GROUP) -> dict[str, Instance]:
-        """Return the listed agents by name, all or those that may be of a group."""
+        """Return the listed agents by name, all or those that may be in a group."""
         return {
             name: row
             for name, row in self.directory.of_role(InstanceRole.TARGET).items()
@@ -85,31 +96,31 @@
         self,
         path: str,
         messages: Mapping[str, object],
-        answer: type[T],
+        answer_type: type[T],
         seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> dict[str, T]:
-        """Send each address its message; return the answers that came."""
-        return await self.caller.call(path, messages, answer, seconds)
+        """Send each address its message; return the received answers by address."""
+        return await self.caller.call(path, messages, answer_type, seconds)
 
     async def call_agent(
-        self, address: str, path: str, message: object, answer: type[T]
+        self, address: str, path: str, message: object, answer_type: type[T]
     ) -> T | None:
-        """Send one address a message; return the answer, ``None`` without one."""
-        return (await self.call(path, {address: message}, answer)).get(address)
+        """Send a message to one address; return the answer or ``None``."""
+        return (await self.call(path, {address: message}, answer_type)).get(address)
 
     def addresses(self, group: str = ANY_GROUP) -> list[str]:
-        """Return where the agents of a group, or of all, are called."""
+        """Return the addresses of the agents of a group or of all groups."""
         return [row.address for row in self.agents(group).values()]
 
     async def view(
         self, group: str, query: RankQuery, counted: Collection[str] = ()
     ) -> GroupView:
         """
-        Return what the ranks of a group say, through their agents.
+        Query the ranks of a group through their agents.
 
-        Those at the addresses ``counted`` are asked for their counts as well.
-        Where ranks are missing of a group that serves, their engines are asked in
-        the place of silent agents, and now and then agents of other groups: a rank
+        Agents at the addresses ``counted`` are asked for the ranks' counts as well.
+        If ranks of a serving group are missing, the engines of unresponsive agents
+        are queried, and from time to time the agents of other groups, since a rank
         may have changed its group.
         """
         query = replace(query, group=group)
@@ -120,22 +131,22 @@
             for address in self.skipped_agents.others(addresses)
         }
         answers = await self._query(messages)
-        found = build_view(group, answers)
-        if not found.incomplete:
-            return found
-        if found.members and not found.broken:
-            silent = frozenset(addresses) - frozenset(answers)
-            self.skipped_agents.note(*silent & messages.keys())
-            answers |= await self._ask_engines(silent, query)
-            found = build_view(group, answers, silent)
+        current = build_view(group, answers)
+        if not current.incomplete:
+            return current
+        if current.members and not current.broken:
+            without_answer = frozenset(addresses) - frozenset(answers)
+            self.skipped_agents.note(*without_answer & messages.keys())
+            answers |= await self._query_engines(without_answer, query)
+            current = build_view(group, answers, without_answer)
         others = set(self.addresses()) - set(addresses)
-        if not found.incomplete or not others or not self._may_search():
-            return found
+        if not current.incomplete or not others or not self._is_search_due():
+            return current
         answers |= await self._query(dict.fromkeys(others, query))
-        return build_view(group, answers, found.unresponsive)
+        return build_view(group, answers, current.unresponsive)
 
-    def _may_search(self) -> bool:
-        """Tell whether a rank may be looked for in other groups, once in a while."""
+    def _is_search_due(self) -> bool:
+        """Return whether a search in other groups is due, and record its time."""
         now = anyio.current_time()
         if now < self.last_search_at + SEARCH_INTERVAL_SECONDS:
             return False
@@ -145,7 +156,7 @@
     async def _query(
         self, messages: Mapping[str, RankQuery], seconds: float = CALL_TIMEOUT_SECONDS
     ) -> dict[str, RankAnswer]:
-        """Ask agents for their ranks' states, and note the groups that they say."""
+        """Query agents for their ranks' states and record the reported groups."""
         answers = await self.call(QUERY_PATH, messages, RankAnswer, seconds)
         for address, answer in answers.items():
             if answer.state is not None:
@@ -154,67 +165,67 @@
 
     async def view_with_engines(self, group: str) -> GroupView:
         """
-        Return what the ranks of a group say, whether their agents live or not.
+        Query the ranks of a group, through their engines if agents do not respond.
 
-        An engine asked from afar answers some hundred milliseconds late and
-        for a price; only ranks without an agent are asked that way.
+        An engine on another machine answers a few hundred milliseconds late and at a
+        cost, so only ranks whose agents do not respond are queried that way.
         """
         addresses = self.addresses(group)
         query = RankQuery(group=group)
         answers = await self._query(
             dict.fromkeys(addresses, query), STALLED_CALL_TIMEOUT_SECONDS
         )
-        silent = frozenset(addresses) - frozenset(answers)
-        answers |= await self._ask_engines(silent, query)
-        return build_view(group, answers, silent)
+        without_answer = frozenset(addresses) - frozenset(answers)
+        answers |= await self._query_engines(without_answer, query)
+        return build_view(group, answers, without_answer)
 
-    async def _ask_engines(
+    async def _query_engines(
         self, agents: Collection[str], query: RankQuery
     ) -> dict[str, RankAnswer]:
-        """Return what the engines beside some agents say."""
+        """Query the engines that belong to some agents."""
 
-        async def ask(engine: RankClient) -> RankAnswer:
+        async def query_engine(engine: RankClient) -> RankAnswer:
             try:
                 experts = await engine.experts() if query.with_experts else []
                 return RankAnswer(True, await engine.state(), experts=experts)
             except RankError as error:
-                logger.info("rank: neither agent nor engine answers: {}", error)
+                logger.info("rank: agent did not respond, engine failed: {}", error)
                 return RankAnswer(True)
 
-        answers = await self.call_engines(agents, ask)
+        answers = await self.call_engines(agents, query_engine)
         return dict.fromkeys(agents, RankAnswer(True)) | answers
 
     async def call_engines(
         self, agents: Collection[str], call: Callable[[RankClient], Awaitable[T]]
     ) -> dict[str, T]:
         """
-        Make a call at the engine beside each of some agents, all at a time.
+        Run a call on the engine of each of some agents concurrently.
 
-        Return what came of it by the agents' addresses; those beside which no engine
-        is listed are left out.
+        Return the results by the agents' addresses. Agents without a listed engine
+        are omitted.
         """
-        found: dict[str, T] = {}
+        results: dict[str, T] = {}
 
-        async def call_one(address: str, engine: RankClient) -> None:
-            found[address] = await call(engine)
+        async def call_engine(address: str, engine: RankClient) -> None:
+            results[address] = await call(engine)
 
         async with anyio.create_task_group() as tasks:
             for address in agents:
                 engine = self.engine_of_agent(address)
                 if engine is None:
-                    logger.info("rank: no engine is listed beside {}", address)
+                    logger.info("rank: no engine listed for the agent at {}", address)
                 else:
-                    tasks.start_soon(call_one, address, engine)
-        return found
+                    tasks.start_soon(call_engine, address, engine)
+        return results
 
     def fallback_engine(self, member: Member, view: GroupView) -> RankClient | None:
-        """Return the engine to order in the place of an agent without an answer."""
+        """Return the engine to call directly if a member's agent is unresponsive."""
         if member.address not in view.unresponsive:
             return None
         return self.engine_of_agent(member.address)
 
     def engine_of_agent(self, agent_address: str) -> RankClient | None:
-        """Return the engine on the machine of an agent."""
+        """Return the engine on the same machine as an agent."""
         self._refresh_engines()
         address = self.engines.get(host_of(agent_address))
         return (
@@ -222,7 +233,7 @@
         )
 
     def _refresh_engines(self) -> None:
-        """Take over the listed targets, once a version of the list."""
+        """Update the engines' addresses if the list of targets has changed."""
         if self.targets_number == self.targets.number:
             return
         self.targets_number = self.targets.number
--- a/packages/agent/src/briarthread_agent/ranks/rank_planner.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_planner.py
@@ -1,4 +1,4 @@
-"""The planning of a group's map by the agent that has the role."""
+"""Planning of a group's map by the agent that holds the planner role."""
 
 import anyio
 
@@ -24,29 +24,43 @@
 from briarthread_common.placement.rank_loads import slowest_load
 
 POLL_SECONDS = 0.35
-"""Pause between two looks at a busy group: a few passes, in which some ten
-thousand choices of experts are counted."""
+"""
+Pause between two polls of a busy group.
+
+It spans a few passes, in which about ten thousand choices of experts are counted.
+"""
 POLL_SECONDS_PER_RANK = 0.006
-"""The same for each rank, so that looks at a large group leave its link free."""
+"""The same pause per rank, so that polling a large group does not fill the link."""
 IDLE_POLL_SECONDS = 1.0
-"""The same while the group makes no passes."""
+"""Pause between two polls while the group makes no passes."""
 BROKEN_POLL_SECONDS = 0.2
-"""The same while the group is broken: it opens with the first map, and callers
-have been waiting for it."""
+"""
+Pause between two polls while the group is broken.
+
+The group restarts with the first map, and callers have been waiting for it.
+"""
 BROKEN_POLL_SECONDS_PER_RANK = 0.005
-"""The same for each rank, so that looks at a large group leave its link free."""
+"""The same pause per rank, so that polling a large group does not fill the link."""
 PENDING_POLL_SECONDS = 0.1
-"""The same while the change made last waits for its pass: the next one can be
-planned as soon as it is in force, and demand may have shifted meanwhile."""
+"""
+Pause between two polls while the last change waits for its pass.
+
+The next change can be planned as soon as that one is active, and demand may have
+shifted meanwhile.
+"""
 MAX_COUNTS_PER_POLL = 8000
-"""Counts read at one look, all ranks together: some 25 KB, which the link of a
-target's instance carries in a few hundredths of a second."""
+"""
+Maximum number of counts that are read in one poll of all ranks.
+
+They take about 25 KB, which the link of a target's instance transfers in a few
+hundredths of a second.
+"""
 MIN_COUNTED_RANKS = 8
-"""Ranks whose counts are read at each look at least."""
+"""Minimum number of ranks whose counts are read in each poll."""
 
 
 class RankPlanner:
-    """Read the ranks' counts, decide on changes and have them carried out."""
+    """Read the counts of a group's ranks, plan map changes and have them applied."""
 
     def __init__(
         self,
@@ -68,174 +82,177 @@
         self.group = ANY_GROUP
         self.demand_tracker: DemandTracker | None = None
         self.layers: Layers = []
-        self.placed: tuple[int, int] | None = None
+        self.active_map: tuple[int, int] | None = None
         self.version = 0
-        self.slow: dict[str, float] = {}
-        self.counted_from = 0
-        self.opens = False
+        self.slow_ranks: dict[str, float] = {}
+        self.count_offset = 0
+        self.restarting = False
 
     async def run(self) -> None:
-        """Plan whenever the role is this agent's, until cancelled."""
+        """Plan while this agent holds the planner role, until cancelled."""
         while True:
             service = self._service()
             state = await self.controller.own_state()
             if service is None or service.experts is None or state is None:
                 await anyio.sleep(IDLE_POLL_SECONDS)
                 continue
-            self._take_up(state.group)
+            self._reset_for_group(state.group)
             fence = await self.role.acquire(state.group, state.size)
             if fence is None:
                 continue
-            await anyio.sleep(await self._look(state.group, service, fence))
+            await anyio.sleep(await self._poll(state.group, service, fence))
 
-    def _take_up(self, group: str) -> None:
-        """Forget what was known of another group that the rank was in before."""
+    def _reset_for_group(self, group: str) -> None:
+        """Discard the state of the previous group when the rank has changed groups."""
         if group != self.group:
             self.group = group
-            self.demand_tracker, self.layers, self.placed = None, [], None
-            self.slow, self.opens = {}, False
+            self.demand_tracker, self.layers, self.active_map = None, [], None
+            self.slow_ranks, self.restarting = {}, False
 
-    async def _look(self, group: str, service: DirectService, fence: int) -> float:
+    async def _poll(self, group: str, service: DirectService, fence: int) -> float:
         """
-        Look at the group once; return the pause until the next look.
+        Poll the group once; return the pause until the next poll.
 
-        A group that has just opened counts as fully loaded, since callers have
-        waited for it, and what its ranks chose before as its demand.
+        A group that has just recovered is treated as fully loaded, since callers have
+        waited for it, and the earlier choices of its ranks are taken as its demand.
         """
-        query = RankQuery(fence, slow=self.slow)
-        view = await self.peers.view(group, query, self._counted(service))
-        self.opens = self.opens or view.broken
+        query = RankQuery(fence, slow=self.slow_ranks)
+        view = await self.peers.view(group, query, self._agents_to_count(service))
+        self.restarting = self.restarting or view.broken
         if view.fault:
             return max(
                 BROKEN_POLL_SECONDS, len(view.members) * BROKEN_POLL_SECONDS_PER_RANK
             )
-        self._note_slow(group, view)
+        self._update_slow_ranks(group, view)
         if view.change_pending:
             if not self._is_own_change(view):
                 await self.recovery.recover(group)
             return PENDING_POLL_SECONDS
         pause = max(POLL_SECONDS, len(view.members) * POLL_SECONDS_PER_RANK)
-        if not await self._know_map(group, service, view, fence):
+        if not await self._ensure_map_known(group, service, view, fence):
             return pause
-        passes = self.demand_tracker.observe(view, anyio.current_time())
-        if self.opens:
-            self.opens, passes = False, FULL_PASS
-        if passes is None:
+        pass_seconds = self.demand_tracker.observe(view, anyio.current_time())
+        if self.restarting:
+            self.restarting, pass_seconds = False, FULL_PASS
+        if pass_seconds is None:
             return IDLE_POLL_SECONDS
-        layers, loads, saved = await self._improve(service, view, passes)
-        if loads:
+        layers, load_count, saved_seconds = await self._improve_layers(
+            service, view, pass_seconds
+        )
+        if load_count:
             self.events.add(
                 "map-planned",
                 group,
-                f"{loads} experts to load, saves {saved:.2f} s, "
-                f"{passes * 1000:.0f} ms a pass",
+                f"{load_count} experts to load, saves {saved_seconds:.2f} s, "
+                f"{pass_seconds * 1000:.0f} ms a pass",
             )
-            await self._place(view, fence, layers, passes)
+            await self._activate(view, fence, layers, pass_seconds)
         return pause
 
     def _is_own_change(self, view: GroupView) -> bool:
-        """Tell whether all that is change_pending is the change made last."""
-        own = None if self.placed is None else self.placed[1]
+        """Return whether the only pending change is the last one of this planner."""
+        own_version = None if self.active_map is None else self.active_map[1]
         if view.held_passes:
             return False
         return all(
-            own == (state.map_version if state.armed is None else state.armed.version)
+            own_version
+            == (state.map_version if state.armed is None else state.armed.version)
             for state in (member.state for member in view.members)
         )
 
-    def _counted(self, service: DirectService) -> list[str]:
+    def _agents_to_count(self, service: DirectService) -> list[str]:
         """
-        Return the agents that are asked for counts at this look, in turn.
+        Return the agents whose counts are requested in this poll, in rotation.
 
-        Those asked at one look lie far apart in the list, so that no agent has
-        the counts of several to pass on.
+        They are far apart in the list, so that no relay has to forward the counts of
+        several agents.
         """
         figures = service.experts
         addresses = sorted(self.peers.addresses(self.group))
-        most = max(
+        max_agents = max(
             MAX_COUNTS_PER_POLL // (figures.sets * figures.experts), MIN_COUNTED_RANKS
         )
-        if len(addresses) <= most:
+        if len(addresses) <= max_agents:
             return addresses
-        stride = len(addresses) // most
-        self.counted_from += 1
+        stride = len(addresses) // max_agents
+        self.count_offset += 1
         return [
-            addresses[(self.counted_from + number * stride) % len(addresses)]
-            for number in range(most)
+            addresses[(self.count_offset + number * stride) % len(addresses)]
+            for number in range(max_agents)
         ]
 
-    def _note_slow(self, group: str, view: GroupView) -> None:
+    def _update_slow_ranks(self, group: str, view: GroupView) -> None:
         slow = view.slow_ranks()
-        if slow.keys() != self.slow.keys():
+        if slow.keys() != self.slow_ranks.keys():
             self.events.add("ranks-slow", group, f"{slow or 'none'}")
-        self.slow = slow
+        self.slow_ranks = slow
 
-    async def _place(
-        self, view: GroupView, fence: int, layers: Layers, passes: float
+    async def _activate(
+        self, view: GroupView, fence: int, layers: Layers, pass_seconds: float
     ) -> None:
-        known = max(self.version, self.controller.newest_version)
-        self.version = max(known, view.newest_version()) + 1
-        change = MapChange(self.version, layers, self.placed[1], self.layers)
-        placed = await self.coordinator.apply(view, fence, change, passes)
-        if placed:
+        newest = max(self.version, self.controller.newest_version)
+        self.version = max(newest, view.newest_version()) + 1
+        change = MapChange(self.version, layers, self.active_map[1], self.layers)
+        activated = await self.coordinator.activate(view, fence, change, pass_seconds)
+        if activated:
             self.layers = layers
-            self.placed = (view.epoch, self.version)
+            self.active_map = (view.epoch, self.version)
         else:
-            self.placed = None
+            self.active_map = None
 
-    async def _know_map(
+    async def _ensure_map_known(
         self, group: str, service: DirectService, view: GroupView, fence: int
     ) -> bool:
-        """Tell whether the map in force is known, having asked if need be."""
+        """Ensure that the active map is known, querying the ranks if necessary."""
         versions = {member.state.map_version for member in view.members}
         if len(versions) != 1:
             return False
         known = (view.epoch, versions.pop())
-        if self.placed == known:
+        if self.active_map == known:
             return True
-        if self.placed is not None and self.placed[0] == view.epoch:
+        if self.active_map is not None and self.active_map[0] == view.epoch:
             return False
-        asked = await self.peers.view(group, RankQuery(fence, with_experts=True))
-        if asked.fault or asked.epoch != view.epoch:
+        current = await self.peers.view(group, RankQuery(fence, with_experts=True))
+        if current.fault or current.epoch != view.epoch:
             return False
         figures = service.experts
-        if any(len(m.answer.experts) != figures.sets for m in asked.members):
+        if any(len(m.answer.experts) != figures.sets for m in current.members):
             return False
         self.layers = [
-            [member.answer.experts[number] for member in asked.members]
+            [member.answer.experts[number] for member in current.members]
             for number in range(figures.sets)
         ]
         if self.demand_tracker is None or self.demand_tracker.figures != figures:
             self.demand_tracker = DemandTracker(figures)
-        self.placed = known
+        self.active_map = known
         return True
 
-    async def _improve(
-        self, service: DirectService, view: GroupView, passes: float
+    async def _improve_layers(
+        self, service: DirectService, view: GroupView, pass_seconds: float
     ) -> tuple[Layers, int, float]:
-        """Return better layers, the experts to load and the seconds saved."""
+        """Return improved layers, the number of loads and the seconds saved."""
         engine, figures = service.engine, service.experts
-        length = PassLength(passes, engine.stride * engine.step_seconds)
+        length = PassLength(pass_seconds, engine.stride * engine.step_seconds)
         demand = self.demand_tracker.demand(anyio.current_time())
         slowdown = [member.state.slowdown for member in view.members]
         slowest = [
             slowest_load(layer, counts, slowdown)
             for layer, counts in zip(self.layers, demand, strict=True)
         ]
-        better: Layers = []
-        loads, saved = 0, 0.0
+        improved: Layers = []
+        load_count, saved_seconds = 0, 0.0
         for number, layer in enumerate(self.layers):
-            others = sum(slowest) - slowest[number]
+            other_sets = sum(slowest) - slowest[number]
             change = SetChange(layer, 0, 0.0)
             for found in set_changes(
-                layer, demand[number], others, figures, length, slowdown
+                layer, demand[number], other_sets, figures, length, slowdown
             ):
                 change = found
                 await anyio.sleep(0)
-            better.append(change.layer)
-            loads += change.loads
-            saved += change.saved
-        return better, loads, saved
+            improved.append(change.layer)
+            load_count += change.loads
+            saved_seconds += change.saved
+        return improved, load_count, saved_seconds
 
     def _service(self) -> DirectService | None:
         routes = self.routes.current()
--- a/packages/agent/src/briarthread_agent/ranks/settings.py
+++ b/packages/agent/src/briarthread_agent/ranks/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an agent beside a direct target, with their defaults."""
+"""The settings of a direct target's agent and their defaults."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -32,7 +32,7 @@
 
 
 def load_direct_agent_settings(path: Path) -> DirectAgentSettings:
-    """Return the settings of a file or raise ChecksFailed with all faults."""
+    """Load the settings from a file; raise ChecksFailed with all errors."""
     values = read_settings(path, DIRECT_AGENT_SECTIONS)
     instance = values["instance"]
     return DirectAgentSettings(
--- a/tests/ranks/conftest.py
+++ b/tests/ranks/conftest.py
@@ -1,10 +1,10 @@
-"""What all tests of groups share."""
+"""Fixtures for the tests of groups."""
 
 import pytest
 
 
 @pytest.fixture(autouse=True)
 def long_passes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the stand-in's passes count as those of a fully loaded group."""
+    """Treat the stand-in's passes as those of a fully loaded group."""
     monkeypatch.setattr("briarthread_common.placement.quick_change.CALM_PASS", 0.01)
     monkeypatch.setattr("briarthread_common.placement.quick_change.FULL_PASS", 0.02)
--- a/tests/ranks/test_group_caller.py
+++ b/tests/ranks/test_group_caller.py
@@ -1,4 +1,4 @@
-"""Calls to all agents of a large group go by way of some of them."""
+"""Calls to all agents of a large group are relayed by some of them."""
 
 from collections import Counter
 
@@ -26,7 +26,7 @@
 
 
 class AgentGroup:
-    """Agents that answer queries, and who called whom."""
+    """Agents that answer queries, with counters of the calls between them."""
 
     def __init__(self, network: FakeNetwork, number: int) -> None:
         self.network = network
@@ -36,14 +36,14 @@
             self._start(address)
 
     def _start(self, address: str) -> None:
-        calls = GroupCaller(self.network.channel(address, "palermo"))
+        caller = GroupCaller(self.network.channel(address, "palermo"))
 
         async def answer(call: Call) -> None:
-            asked = await call.read_json(RankQuery, 1000)
-            silence = 2.0 if asked.with_counts else 1.0
+            request = await call.read_json(RankQuery, 1000)
+            silence = 2.0 if request.with_counts else 1.0
             await call.reply_json(RankAnswer(True, planner_silence=silence))
 
-        app = App([Route("POST", QUERY_PATH, answer), *calls.routes()])
+        app = App([Route("POST", QUERY_PATH, answer), *caller.routes()])
 
         async def counted(scope: dict, receive: object, send: object) -> None:
             self.called[scope["client"][0], scope["path"]] += 1
@@ -51,60 +51,62 @@
 
         self.network.listen(address, "palermo", counted)
 
-    async def ask(self, calls: GroupCaller, counted: int) -> dict[str, RankAnswer]:
-        """Ask all, the first ``counted`` of them for their counts too."""
+    async def ask(self, caller: GroupCaller, counted: int) -> dict[str, RankAnswer]:
+        """Query all agents, the first ``counted`` of them for their counts too."""
         brief, full = RankQuery(1), RankQuery(1, with_counts=True)
         messages = {
             address: full if number < counted else brief
             for number, address in enumerate(self.addresses)
         }
-        return await calls.call(QUERY_PATH, messages, RankAnswer, SECONDS)
+        return await caller.call(QUERY_PATH, messages, RankAnswer, SECONDS)
 
 
-async def in_group(number: int, play: object) -> None:
+async def run_in_group(number: int, scenario: object) -> None:
     async with anyio.create_task_group() as tasks:
         network = FakeNetwork(tasks)
         group = AgentGroup(network, number)
-        await play(group, GroupCaller(network.channel(PLANNER, "palermo")))
+        await scenario(group, GroupCaller(network.channel(PLANNER, "palermo")))
         tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize(("number", "own_calls"), [(12, 12), (63, 8), (129, 11)])
-def test_planner_calls_as_many_agents_as_the_root_of_a_large_group(
-    number: int, own_calls: int
+@pytest.mark.parametrize(("number", "planner_calls"), [(12, 12), (63, 8), (129, 11)])
+def test_planner_calls_the_square_root_of_the_agents_of_a_large_group(
+    number: int, planner_calls: int
 ) -> None:
-    async def play(group: AgentGroup, calls: GroupCaller) -> None:
-        answers = await group.ask(calls, counted=5)
+    async def scenario(group: AgentGroup, caller: GroupCaller) -> None:
+        answers = await group.ask(caller, counted=5)
         silences = [answers[address].planner_silence for address in group.addresses]
         assert silences == [2.0] * 5 + [1.0] * (number - 5)
-        made = sum(n for (caller, _), n in group.called.items() if caller == PLANNER)
-        assert made == own_calls
+        call_count = sum(
+            n for (source, _), n in group.called.items() if source == PLANNER
+        )
+        assert call_count == planner_calls
 
-    run_virtual(in_group, number, play)
+    run_virtual(run_in_group, number, scenario)
 
 
-def test_agents_behind_one_that_is_frozen_answer_all_the_same() -> None:
-    async def play(group: AgentGroup, calls: GroupCaller) -> None:
+def test_agents_of_a_batch_are_reached_if_its_relay_is_frozen() -> None:
+    async def scenario(group: AgentGroup, caller: GroupCaller) -> None:
         frozen = sorted(group.addresses)[0]
         group.network.freeze(frozen, True)
-        answers = await group.ask(calls, counted=0)
+        answers = await group.ask(caller, counted=0)
         assert set(answers) == set(group.addresses) - {frozen}
         group.called.clear()
         before = anyio.current_time()
-        answers = await group.ask(calls, counted=0)
+        answers = await group.ask(caller, counted=0)
         assert set(answers) == set(group.addresses) - {frozen}
         assert anyio.current_time() - before <= SECONDS
         assert group.called[PLANNER, QUERY_PATH] == 0
 
-    run_virtual(in_group, 63, play)
+    run_virtual(run_in_group, 63, scenario)
 
 
-def test_agent_passes_on_nothing_but_the_calls_of_a_group() -> None:
-    async def play(group: AgentGroup, calls: GroupCaller) -> None:
+def test_agent_relays_only_the_calls_of_a_group() -> None:
+    async def scenario(group: AgentGroup, caller: GroupCaller) -> None:
         request = RelayRequest("/peer/v1/exchange", [], 1.0)
         with pytest.raises(BrokenCallError, match="answered 400"):
             await call_json(
-                calls.channel,
+                caller.channel,
                 group.addresses[0],
                 "POST",
                 RELAY_PATH,
@@ -113,4 +115,4 @@
                 SECONDS,
             )
 
-    run_virtual(in_group, 3, play)
+    run_virtual(run_in_group, 3, scenario)
--- a/tests/ranks/test_large_groups.py
+++ b/tests/ranks/test_large_groups.py
@@ -1,4 +1,4 @@
-"""Large groups get good maps over the small links of their instances."""
+"""Large groups get good maps over the slow links of their instances."""
 
 import anyio
 import pytest
@@ -6,34 +6,35 @@
 
 from briarthread_standins.direct_agents import GroupWorld
 
-LINK_RATE = 375_000.0
-"""Bytes a second: the 3 Mbit/s of the instances of 129 ranks."""
-STANDING_CALLS = 40.0
-"""Calls a second and rank in a group that stands still, of which each agent makes
-six to its own rank anyway."""
+LINK_BYTES_PER_SECOND = 375_000.0
+"""Link rate in bytes per second: the 3 Mbit/s of the instances of 129 ranks."""
+STALLED_CALLS_PER_SECOND = 40.0
+"""
+Calls per second and rank in a stalled group.
+
+Six of them are calls of each agent to its own rank, which it always makes.
+"""
 MAP_SECONDS = 6.0
-"""Time from the start of all agents in which a better map has to be in force."""
+"""Time from the start of all agents within which a better map must be active."""
 
 
-def shift(world: GroupWorld, first: int) -> None:
-    """Make a tenth of all experts much liked, from one on."""
+def shift_demand(world: GroupWorld, first: int) -> None:
+    """Make a tenth of all experts popular, beginning with a given one."""
     experts = world.experts
     for demand in world.group.demand:
         for expert in range(experts):
-            liked = (expert - first) % experts < experts // 10
-            demand[expert] = 8.0 + expert % 7 if liked else 1.0
+            popular = (expert - first) % experts < experts // 10
+            demand[expert] = 8.0 + expert % 7 if popular else 1.0
 
 
 @pytest.mark.parametrize(("ranks", "sets"), [(12, 4), (63, 4)])
-def test_better_map_is_in_force_within_seconds_whatever_the_size(
-    ranks: int, sets: int
-) -> None:
+def test_better_map_is_active_within_seconds_at_any_size(ranks: int, sets: int) -> None:
     async def scenario(world: GroupWorld) -> None:
-        shift(world, first=1)
+        shift_demand(world, first=1)
         before = world.group.skew()
         await anyio.sleep(MAP_SECONDS)
         assert world.group.skew() < 1 + 0.6 * (before - 1)
-        shift(world, first=ranks)
+        shift_demand(world, first=ranks)
         shifted = world.group.skew()
         await anyio.sleep(MAP_SECONDS)
         assert world.group.skew() < 1 + 0.6 * (shifted - 1)
@@ -41,11 +42,16 @@
         assert world.group.held_seconds < 0.2
 
     in_group_world(
-        scenario, ranks, False, sets=sets, experts=3 * ranks, link_rate=LINK_RATE
+        scenario,
+        ranks,
+        False,
+        sets=sets,
+        experts=3 * ranks,
+        link_rate=LINK_BYTES_PER_SECOND,
     )
 
 
-def test_large_group_that_stands_still_is_not_asked_by_all_of_its_agents() -> None:
+def test_stalled_large_group_is_not_queried_by_all_of_its_agents() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(1)
         world.group.ranks[5].held = world.group.step + 1
@@ -53,7 +59,7 @@
         world.network.freeze(world.engine_address(5), True)
         before = world.network.messages
         await anyio.sleep(6)
-        assert (world.network.messages - before) / 6 < STANDING_CALLS * 40
+        assert (world.network.messages - before) / 6 < STALLED_CALLS_PER_SECOND * 40
         assert world.group.violations == []
 
     in_group_world(scenario, 40, False, sets=1, experts=80)
--- a/tests/ranks/test_map_change_coordinator.py
+++ b/tests/ranks/test_map_change_coordinator.py
@@ -1,4 +1,4 @@
-"""Who is asked to hold the pass of a change, one after the other."""
+"""The order in which ranks are asked to hold the pass of a change."""
 
 import pytest
 
@@ -19,8 +19,8 @@
 ADDRESSES = tuple(f"10.2.0.{n}:9" for n in range(1, 5))
 
 
-class OwnRank:
-    """The planner's own agent, beside rank 0."""
+class OwnController:
+    """The controller of the planner's own rank, which is rank 0."""
 
     fence = 1
 
@@ -28,13 +28,13 @@
         return RankState("g", 1, 0, len(ADDRESSES), True, 5, 1)
 
 
-class HoldersThatDoNotHold:
-    """Ranks whose engines lose the order to hold, and what was asked of whom."""
+class PeersLosingHolds:
+    """Peers whose engines lose the hold order; records which ranks were asked."""
 
-    def __init__(self, takes_back: OrderAnswer | None) -> None:
-        self.takes_back = takes_back
+    def __init__(self, withdraw_answer: OrderAnswer | None) -> None:
+        self.withdraw_answer = withdraw_answer
         self.holds: list[str] = []
-        self.at = ""
+        self.last_address = ""
 
     async def view(self, group: str, query: object) -> GroupView:
         return build_view(
@@ -45,33 +45,35 @@
             },
         )
 
-    def engine_of_agent(self, address: str) -> "HoldersThatDoNotHold":
-        self.at = address
+    def engine_of_agent(self, address: str) -> "PeersLosingHolds":
+        self.last_address = address
         return self
 
     async def hold(self, epoch: int, step: int) -> bool:
-        self.holds.append(self.at)
+        self.holds.append(self.last_address)
         return False
 
     async def call_agent(
         self, address: str, path: str, message: object, answer: type
     ) -> OrderAnswer | None:
         if path == WITHDRAW_PATH:
-            return self.takes_back
+            return self.withdraw_answer
         assert path == ACCEPT_PATH
         return OrderAnswer(False)
 
 
 @pytest.mark.parametrize(
-    ("takes_back", "asked"),
+    ("withdraw_answer", "asked"),
     [(OrderAnswer(True), 3), (OrderAnswer(False), 1), (None, 1)],
 )
 def test_next_rank_is_asked_only_if_the_first_will_never_promise(
-    takes_back: OrderAnswer | None, asked: int
+    withdraw_answer: OrderAnswer | None, asked: int
 ) -> None:
     async def run() -> None:
-        peers = HoldersThatDoNotHold(takes_back)
-        coordinator = MapChangeCoordinator(OwnRank(), peers, EventLog(Clock(), "agent"))
+        peers = PeersLosingHolds(withdraw_answer)
+        coordinator = MapChangeCoordinator(
+            OwnController(), peers, EventLog(Clock(), "agent")
+        )
 
         async def staged(*_: object) -> bool:
             return True
@@ -79,7 +81,7 @@
         coordinator._stage = staged
         view = await peers.view("g", None)
         change = MapChange(2, [[[0], [1]]], 1, [[[1], [0]]])
-        assert not await coordinator.apply(view, 1, change, 0.06)
+        assert not await coordinator.activate(view, 1, change, 0.06)
         assert peers.holds == list(ADDRESSES[1 : 1 + asked])
 
     run_virtual(run)
--- a/tests/ranks/test_map_changes.py
+++ b/tests/ranks/test_map_changes.py
@@ -1,4 +1,4 @@
-"""All ranks of a group have one map in every pass, and a better one soon."""
+"""All ranks of a group use the same map in every pass, and get a better one soon."""
 
 import anyio
 import pytest
@@ -15,18 +15,18 @@
 )
 from briarthread_standins.direct_agents import GroupWorld
 
-SETTLED = 1.5
-"""Skew under which a group of the tests counts as well placed."""
+BALANCED_SKEW = 1.5
+"""Skew below which the experts of a test group count as well balanced."""
 
 
-def held(world: GroupWorld) -> list[int | None]:
+def held_passes(world: GroupWorld) -> list[int | None]:
     return [rank.held for rank in world.group.ranks]
 
 
 async def wait_until_none_is_held(world: GroupWorld) -> None:
-    """Return once no rank holds a pass, as one does for a change under way."""
+    """Wait until no rank holds a pass, since a change may still be in progress."""
     with anyio.fail_after(1):
-        while held(world) != [None] * 4:
+        while held_passes(world) != [None] * 4:
             await anyio.sleep(0.01)
 
 
@@ -36,15 +36,15 @@
         await anyio.sleep(0.001)
 
 
-def test_skew_falls_and_no_pass_is_held_up() -> None:
+def test_skew_decreases_without_delaying_a_pass() -> None:
     async def scenario(world: GroupWorld) -> None:
         before = world.group.skew()
         await anyio.sleep(6)
         assert before > 2
-        assert world.group.skew() < SETTLED
+        assert world.group.skew() < BALANCED_SKEW
         assert world.group.violations == []
         assert world.group.held_seconds == 0
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
 
     in_group_world(scenario)
 
@@ -56,13 +56,13 @@
             prefer(world.group, hot)
             shifted = world.group.skew()
             await anyio.sleep(3)
-            assert world.group.skew() < min(SETTLED, shifted)
+            assert world.group.skew() < min(BALANCED_SKEW, shifted)
         assert world.group.violations == []
 
     in_group_world(scenario)
 
 
-def test_even_demand_moves_nothing() -> None:
+def test_even_demand_causes_no_orders() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(6)
         assert world.group.orders == []
@@ -84,15 +84,15 @@
         world.start_agent(victim)
         await anyio.sleep(12)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
         assert world.group.longest_hold < 4
-        assert world.group.skew() < SETTLED
+        assert world.group.skew() < BALANCED_SKEW
 
     in_group_world(scenario)
 
 
 @pytest.mark.parametrize("order", ["prepare", "hold", "arm"])
-def test_planner_frozen_after_an_order_and_woken_leaves_one_map(order: str) -> None:
+def test_planner_frozen_after_an_order_and_resumed_leaves_one_map(order: str) -> None:
     async def scenario(world: GroupWorld) -> None:
         with anyio.move_on_after(3):
             await wait_for_order(world, order)
@@ -103,14 +103,14 @@
         world.network.freeze(world.agent_address(victim), False)
         await anyio.sleep(10)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
-        assert world.group.skew() < SETTLED
+        assert held_passes(world) == [None] * 4
+        assert world.group.skew() < BALANCED_SKEW
 
     in_group_world(scenario)
 
 
 @pytest.mark.parametrize("skipped", range(12))
-def test_order_without_answer_that_is_carried_out_late_does_no_harm(
+def test_unanswered_order_that_is_carried_out_late_is_harmless(
     skipped: int,
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
@@ -120,8 +120,8 @@
         world.group.unanswered = 2
         await anyio.sleep(12)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
-        assert world.group.skew() < SETTLED
+        assert held_passes(world) == [None] * 4
+        assert world.group.skew() < BALANCED_SKEW
 
     in_group_world(scenario)
 
@@ -134,8 +134,8 @@
         world.group.form_anew()
         await anyio.sleep(10)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
-        assert world.group.skew() < SETTLED
+        assert held_passes(world) == [None] * 4
+        assert world.group.skew() < BALANCED_SKEW
 
     in_group_world(scenario)
 
@@ -150,18 +150,18 @@
         world.start_agent(victim)
         await anyio.sleep(8)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
 
     in_group_world(scenario)
 
 
-def test_planning_goes_on_while_the_platform_is_away() -> None:
+def test_planning_continues_while_the_platform_is_unavailable() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         world.store.silent = True
         prefer(world.group, 6)
         await anyio.sleep(4)
-        assert world.group.skew() < SETTLED
+        assert world.group.skew() < BALANCED_SKEW
         assert world.group.violations == []
 
     in_group_world(scenario)
@@ -181,7 +181,7 @@
     in_group_world(scenario, skewed=False)
 
 
-def test_stand_in_notices_ranks_with_different_maps() -> None:
+def test_stand_in_detects_ranks_with_different_maps() -> None:
     async def scenario(world: GroupWorld) -> None:
         world.group.ranks[0].map_version = 9
         await anyio.sleep(0.2)
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("late", [0.05, 0.15, 0.3, 0.6, 2.0])
 @pytest.mark.parametrize("idle", [False, True])
-def test_hold_that_is_carried_out_late_holds_the_group_up_for_a_moment_only(
+def test_hold_that_is_carried_out_late_delays_the_group_only_briefly(
     late: float, idle: bool
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
@@ -209,7 +209,7 @@
             world.group.serving = True
         await anyio.sleep(8)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
         assert world.group.longest_hold < 0.45
 
     in_group_world(scenario)
@@ -220,21 +220,19 @@
         world.group.unanswered_of = {"prepare": 6}
         world.group.late = 5.0
         with anyio.move_on_after(3):
-            while world.group.skew() >= SETTLED:
+            while world.group.skew() >= BALANCED_SKEW:
                 await anyio.sleep(0.05)
-        assert world.group.skew() < SETTLED
+        assert world.group.skew() < BALANCED_SKEW
         assert world.group.ranks[0].map_version == 1
         await anyio.sleep(6)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
 
     in_group_world(scenario)
 
 
 @pytest.mark.parametrize(("order", "longest"), [("hold", 0.3), ("arm", 2.0)])
-def test_frozen_planner_does_not_keep_the_group_waiting(
-    order: str, longest: float
-) -> None:
+def test_frozen_planner_does_not_stall_the_group(order: str, longest: float) -> None:
     async def scenario(world: GroupWorld) -> None:
         with anyio.move_on_after(3):
             await wait_for_order(world, order)
@@ -246,12 +244,12 @@
         world.network.freeze(world.agent_address(victim), False)
         await anyio.sleep(4)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
+        assert held_passes(world) == [None] * 4
 
     in_group_world(scenario)
 
 
-def test_group_is_hardly_held_up_while_every_tenth_order_is_lost() -> None:
+def test_group_is_hardly_delayed_while_every_tenth_order_is_lost() -> None:
     async def scenario(world: GroupWorld) -> None:
         world.group.lost_share = 0.1
         world.group.late = 5.0
@@ -281,13 +279,13 @@
             world.network.freeze(address, False)
         await anyio.sleep(6)
         assert world.group.violations == []
-        assert held(world) == [None] * 4
-        assert world.group.skew() < SETTLED
+        assert held_passes(world) == [None] * 4
+        assert world.group.skew() < BALANCED_SKEW
 
     in_group_world(scenario)
 
 
-def test_another_rank_holds_the_pass_where_the_order_to_the_first_is_lost() -> None:
+def test_another_rank_holds_the_pass_if_the_order_to_the_first_is_lost() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         world.group.late = 8.0
@@ -305,7 +303,7 @@
     in_group_world(scenario)
 
 
-def test_agent_that_promised_a_pass_does_not_take_it_back_and_the_other_way() -> None:
+def test_promise_of_a_pass_and_its_withdrawal_exclude_each_other() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         group, fence = world.group, 10**6
--- a/tests/ranks/test_map_stager.py
+++ b/tests/ranks/test_map_stager.py
@@ -1,4 +1,4 @@
-"""Every rank is ordered to load a map until it has it."""
+"""Every rank is ordered to load a map until it reports the map as loaded."""
 
 import anyio
 
@@ -13,8 +13,8 @@
 VERSION = 2
 
 
-class SilentOncePeers:
-    """Agents of which the second gives no answer to its first calls."""
+class PeersLosingFirstCalls:
+    """Two agents, of which the second does not answer its first calls."""
 
     def __init__(self) -> None:
         self.loaded: set[str] = set()
@@ -22,7 +22,7 @@
         self.views = 0
 
     def build(self, addresses: tuple[str, ...]) -> GroupView:
-        """Return what the agents at some addresses say."""
+        """Return the view of a group from the answers of some agents."""
         answers = {}
         for address in addresses:
             rank = ADDRESSES.index(address)
@@ -32,23 +32,23 @@
         return build_view("g", answers)
 
     async def view(self, group: str, query: object) -> GroupView:
-        """Leave the second agent out of the first view."""
+        """Return a view, the first one without the second agent."""
         self.views += 1
         return self.build(ADDRESSES[:1] if self.views == 1 else ADDRESSES)
 
     async def call(
         self, path: str, messages: dict, answer: type, seconds: float
     ) -> dict:
-        """Lose the first order to the second agent."""
+        """Deliver orders, except for the first one to the second agent."""
         self.orders += 1
         reached = [a for a in messages if a == ADDRESSES[0] or self.orders > 1]
         self.loaded.update(reached)
         return {address: OrderAnswer(True) for address in reached}
 
 
-def test_rank_that_missed_its_order_and_a_look_is_ordered_again() -> None:
+def test_rank_that_missed_its_order_and_a_poll_is_ordered_again() -> None:
     async def run() -> None:
-        peers = SilentOncePeers()
+        peers = PeersLosingFirstCalls()
         change = MapChange(VERSION, [[[0], [1]]], 1, [[[1], [0]]])
         stager = MapStager(peers, peers.build(ADDRESSES), 1, change)
         staged = False
--- a/tests/ranks/test_several_groups.py
+++ b/tests/ranks/test_several_groups.py
@@ -1,4 +1,4 @@
-"""Each of several groups behind one service has a planner and maps of its own."""
+"""Each of several groups of one service has its own planner and maps."""
 
 import anyio
 import pytest
@@ -10,7 +10,7 @@
 
 SIZES = [(4, 4), (3, 5, 4)]
 MAP_SECONDS = 7.0
-"""Time in which every group has a planner and a better map, from the start."""
+"""Time from the start within which every group has a planner and a better map."""
 
 
 def assert_one_map_a_pass(world: GroupWorld) -> None:
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.parametrize("sizes", SIZES)
-def test_map_of_a_group_follows_its_own_demand_only(sizes: tuple[int, ...]) -> None:
+def test_map_of_a_group_follows_only_its_own_demand(sizes: tuple[int, ...]) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         still = [group.ranks[0].map_version for group in world.groups[:-1]]
@@ -71,7 +71,7 @@
     in_group_world(scenario, sizes=(4, 4))
 
 
-def test_group_that_stands_still_leaves_the_other_its_maps() -> None:
+def test_stalled_group_does_not_affect_the_maps_of_another() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         world.groups[0].serving = False
@@ -84,11 +84,13 @@
     in_group_world(scenario, sizes=(4, 4))
 
 
-@pytest.mark.parametrize("platform_away", [False, True])
-def test_rank_that_changes_its_group_is_planned_for_there(platform_away: bool) -> None:
+@pytest.mark.parametrize("platform_unavailable", [False, True])
+def test_rank_that_changes_its_group_is_planned_for_there(
+    platform_unavailable: bool,
+) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
-        world.store.silent = platform_away
+        world.store.silent = platform_unavailable
         left, joined = world.groups
         mover = next(n for n in range(5) if n != world.planner(left))
         world.move_rank(mover, joined)
@@ -104,7 +106,7 @@
     in_group_world(scenario, sizes=(5, 4))
 
 
-def test_planner_whose_rank_changes_its_group_leaves_the_seat_to_another() -> None:
+def test_planner_whose_rank_changes_its_group_loses_the_role_to_another() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         left, joined = world.groups
@@ -122,7 +124,7 @@
     in_group_world(scenario, sizes=(4, 4))
 
 
-def test_group_formed_anew_under_its_name_is_planned_for_again() -> None:
+def test_group_formed_again_under_its_name_gets_a_better_map_again() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         world.groups[1].form_anew()
@@ -134,7 +136,7 @@
     in_group_world(scenario, sizes=(4, 4))
 
 
-def test_agent_takes_no_order_of_another_groups_planner() -> None:
+def test_agent_accepts_no_order_from_another_groups_planner() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         controller = world.agents[0].controller
--- a/tests/ranks/test_silent_agents.py
+++ b/tests/ranks/test_unresponsive_agents.py
@@ -1,4 +1,4 @@
-"""A group gets better maps though some of its agents are silent."""
+"""A group gets better maps although some of its agents do not respond."""
 
 import anyio
 import pytest
@@ -7,28 +7,37 @@
 from briarthread_standins.direct_agents import GroupWorld
 
 MAP_SECONDS = 4.0
-"""Time from a shift of demand in which a better map has to be in force, though each
-call to a machine without power takes over half a second to fail."""
-KNOWN_SECONDS = 16.0
-"""Time from their start in which agents know what was ordered before them."""
-TAKEN_BACK_SECONDS = 1.5
-"""Longest hold by a planner that is frozen; callers leave a stream after two."""
-BACK_SECONDS = 1.3
-"""Time from a planner's return in which a change that it left is finished: one look
-at all ranks that was begun before, which takes 0.8 s to fail, and one more."""
-
-
-def others_than_the_planner(world: GroupWorld, number: int) -> list[int]:
+"""
+Time from a shift of demand within which a better map must be active.
+
+Each call to a machine without power takes over half a second to fail.
+"""
+ORDERS_KNOWN_SECONDS = 16.0
+"""Time after its start from which an agent knows that no earlier order is pending."""
+MAX_HOLD_SECONDS = 1.5
+"""Longest hold caused by a frozen planner; callers abandon a stream after 2 s."""
+COMPLETION_SECONDS = 1.3
+"""
+Time from a planner's return within which its unfinished change is completed.
+
+It covers a query of all ranks that was begun before, which takes 0.8 s to fail, and
+another one.
+"""
+
+
+def ranks_without_planner(world: GroupWorld, number: int) -> list[int]:
     planner = world.planner()
     return [rank for rank in world.agents if rank != planner][:number]
 
 
 @pytest.mark.parametrize("dead", [1, 2])
 @pytest.mark.parametrize("frozen", [False, True])
-def test_map_follows_demand_while_agents_are_away(dead: int, frozen: bool) -> None:
+def test_map_follows_demand_while_agents_do_not_respond(
+    dead: int, frozen: bool
+) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        for number in others_than_the_planner(world, dead):
+        for number in ranks_without_planner(world, dead):
             if frozen:
                 world.network.freeze(world.agent_address(number), True)
             else:
@@ -51,7 +60,7 @@
         with anyio.fail_after(20):
             while world.group.orders.count("hold") == holds:
                 await anyio.sleep(0.002)
-        world.kill_agent(others_than_the_planner(world, 4)[-1])
+        world.kill_agent(ranks_without_planner(world, 4)[-1])
         await anyio.sleep(MAP_SECONDS)
         assert world.group.violations == []
         assert world.group.longest_hold < 0.7
@@ -60,7 +69,7 @@
     in_group_world(scenario, ranks=6)
 
 
-def test_seat_of_a_dead_planner_is_taken_within_seconds() -> None:
+def test_role_of_a_dead_planner_is_taken_over_within_seconds() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         world.kill_agent(world.planner())
@@ -75,10 +84,10 @@
     in_group_world(scenario, ranks=6)
 
 
-def test_rank_without_an_engine_keeps_the_map_as_it_is() -> None:
+def test_map_does_not_change_while_a_rank_has_no_engine() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        gone = others_than_the_planner(world, 1)[0]
+        gone = ranks_without_planner(world, 1)[0]
         world.kill_agent(gone)
         world.network.freeze(world.engine_address(gone), True)
         await anyio.sleep(2)
@@ -94,7 +103,7 @@
 async def freeze_planner_after_its_promise(
     world: GroupWorld, seconds: float, hot: int = 6
 ) -> None:
-    """Freeze the planner's instance from the promise of a pass on."""
+    """Freeze the planner's instance as soon as a pass is promised."""
     promised = [agent.controller.promised_pass for agent in world.agents.values()]
     prefer(world.group, hot)
     with anyio.fail_after(20):
@@ -112,14 +121,14 @@
 
 
 @pytest.mark.parametrize("seconds", [2.0, 3.2, 4.0])
-def test_large_group_goes_on_as_soon_as_a_frozen_planner_is_back(
+def test_large_group_continues_as_soon_as_a_frozen_planner_is_back(
     seconds: float,
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(1)
         await freeze_planner_after_its_promise(world, seconds)
         step = world.group.step
-        await anyio.sleep(BACK_SECONDS)
+        await anyio.sleep(COMPLETION_SECONDS)
         assert world.group.step > step
         await anyio.sleep(MAP_SECONDS)
         assert world.group.violations == []
@@ -129,13 +138,13 @@
 
 
 @pytest.mark.parametrize(("ranks", "experts"), [(4, 12), (30, 60)])
-def test_planner_frozen_after_a_promise_holds_its_group_for_a_moment_only(
+def test_planner_frozen_after_a_promise_holds_its_group_only_briefly(
     ranks: int, experts: int
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
-        await anyio.sleep(KNOWN_SECONDS)
+        await anyio.sleep(ORDERS_KNOWN_SECONDS)
         await freeze_planner_after_its_promise(world, 5.0)
-        assert world.group.longest_hold < TAKEN_BACK_SECONDS
+        assert world.group.longest_hold < MAX_HOLD_SECONDS
         await anyio.sleep(MAP_SECONDS)
         assert world.group.violations == []
         assert not any(rank.held for rank in world.group.ranks)
@@ -144,9 +153,9 @@
     in_group_world(scenario, ranks=ranks, experts=experts)
 
 
-def test_pass_is_not_taken_back_once_a_rank_may_be_armed() -> None:
+def test_promise_is_not_revoked_once_a_rank_may_be_armed() -> None:
     async def scenario(world: GroupWorld) -> None:
-        await anyio.sleep(KNOWN_SECONDS)
+        await anyio.sleep(ORDERS_KNOWN_SECONDS)
         world.group.late = 1.5
         world.group.unanswered_of["arm"] = 1
         arms = world.group.unanswered_of
@@ -168,9 +177,9 @@
     in_group_world(scenario)
 
 
-def test_planner_that_wakes_from_a_freeze_arms_nobody_for_a_pass_taken_back() -> None:
+def test_planner_resumed_after_a_freeze_arms_no_rank_for_a_revoked_promise() -> None:
     async def scenario(world: GroupWorld) -> None:
-        await anyio.sleep(KNOWN_SECONDS)
+        await anyio.sleep(ORDERS_KNOWN_SECONDS)
         for number, seconds in enumerate((1.0, 1.2, 1.4, 1.6, 1.8, 2.5)):
             hot = 6 * ((number + 1) % 2)
             await freeze_planner_after_its_promise(world, seconds, hot)
