--- a/packages/agent/src/briarthread_agent/holding/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The shares of idempotency keys that the agent holds."""
--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.direct.answer_notice import AnswerNotice
+from briarthread_common.direct.response_signals import ResponseSignals
 from briarthread_common.utils.backoff import Backoff
 
 
@@ -21,8 +21,8 @@
         self.backoff: Backoff | None = None
         self.extended = anyio.Event()
 
-    def note_answer(self, notice: AnswerNotice) -> None:
-        """Record what the head of a response says."""
+    def note_response(self, notice: ResponseSignals) -> None:
+        """Record the signals in the head of a response."""
         now = anyio.current_time()
         if notice.backoff > 0:
             self._extend(now, notice.backoff)
--- a/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
+++ b/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
@@ -2,7 +2,7 @@
 
 from briarthread_agent.ranks.group_view import GroupView
 from briarthread_agent.ranks.rank_demand import HALF_LIFE_SECONDS
-from briarthread_common.direct.expert_figures import ExpertFigures
+from briarthread_common.direct.expert_layout import ExpertLayout
 from briarthread_common.messages.rank_messages import RankAnswer
 
 MAX_ANSWER_AGE_SECONDS = 6 * HALF_LIFE_SECONDS
@@ -24,7 +24,7 @@
     the others keep counting, with a weight that decays with their age.
     """
 
-    def __init__(self, figures: ExpertFigures) -> None:
+    def __init__(self, figures: ExpertLayout) -> None:
         self.figures = figures
         self.answers: dict[int, tuple[float, RankAnswer]] = {}
         self.last_sample: tuple[int, int, float] | None = None
--- a/packages/agent/src/briarthread_agent/ranks/rank_planner.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_planner.py
@@ -15,13 +15,13 @@
 from briarthread_common.direct.rank_client import Layers
 from briarthread_common.direct.route_view import RouteView
 from briarthread_common.messages.rank_messages import ANY_GROUP, RankQuery
-from briarthread_common.placement.quick_change import (
-    FULL_PASS,
-    PassLength,
+from briarthread_common.placement.rank_loads import slowest_load
+from briarthread_common.placement.set_rebalance import (
+    FULL_WEIGHT_PASS_SECONDS,
+    PassDuration,
     SetChange,
-    set_changes,
+    search_set_changes,
 )
-from briarthread_common.placement.rank_loads import slowest_load
 
 POLL_SECONDS = 0.35
 """
@@ -133,7 +133,7 @@
             return pause
         pass_seconds = self.demand_tracker.observe(view, anyio.current_time())
         if self.restarting:
-            self.restarting, pass_seconds = False, FULL_PASS
+            self.restarting, pass_seconds = False, FULL_WEIGHT_PASS_SECONDS
         if pass_seconds is None:
             return IDLE_POLL_SECONDS
         layers, load_count, saved_seconds = await self._improve_layers(
@@ -232,7 +232,7 @@
     ) -> tuple[Layers, int, float]:
         """Return improved layers, the number of loads and the seconds saved."""
         engine, figures = service.engine, service.experts
-        length = PassLength(pass_seconds, engine.stride * engine.step_seconds)
+        length = PassDuration(pass_seconds, engine.steps_per_pass * engine.step_seconds)
         demand = self.demand_tracker.demand(anyio.current_time())
         slowdown = [member.state.slowdown for member in view.members]
         slowest = [
@@ -244,7 +244,7 @@
         for number, layer in enumerate(self.layers):
             other_sets = sum(slowest) - slowest[number]
             change = SetChange(layer, 0, 0.0)
-            for found in set_changes(
+            for found in search_set_changes(
                 layer, demand[number], other_sets, figures, length, slowdown
             ):
                 change = found
--- a/packages/agent/src/briarthread_agent/settings.py
+++ b/packages/agent/src/briarthread_agent/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the agent, with their defaults."""
+"""Settings of the agent and their defaults."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -13,22 +13,22 @@
     PLATFORM,
     instance_section,
 )
-from briarthread_common.spread.spread_options import SpreadOptions
+from briarthread_common.spread.replication_options import ReplicationOptions
 
 INSTANCE = instance_section(
-    Option("service", OptionKind.TEXT, None, "Service that its target serves."),
+    Option("service", OptionKind.TEXT, None, "Service of the agent's target."),
 )
 TARGET = SectionSpec(
     "target",
-    "The target that the agent stands before.",
-    (Option("address", OptionKind.ADDRESS, None, "Where the target listens."),),
+    "The agent's target.",
+    (Option("address", OptionKind.ADDRESS, None, "Address of the target."),),
 )
 AGENT_SECTIONS = (INSTANCE, TARGET, PLATFORM, PEERS, LOGS)
 
 
 @dataclass(frozen=True, slots=True)
 class AgentSettings:
-    """Hold the agent's settings; times are in seconds."""
+    """Hold the settings of the agent; times are in seconds."""
 
     name: str
     data_centre: str
@@ -37,7 +37,7 @@
     target: str
     platform_addresses: tuple[str, ...]
     platform_timeout: float
-    spread: SpreadOptions
+    spread: ReplicationOptions
     drain_notice: float
     drain_timeout: float
     log_level: str = "INFO"
@@ -45,7 +45,7 @@
 
 
 def load_agent_settings(path: Path) -> AgentSettings:
-    """Return the settings of a file or raise ChecksFailed with all faults."""
+    """Return the settings in a file or raise ChecksFailed with all faults."""
     values = read_settings(path, AGENT_SECTIONS)
     instance = values["instance"]
     return AgentSettings(
@@ -56,7 +56,7 @@
         target=values["target"]["address"],
         platform_addresses=values["platform"]["addresses"],
         platform_timeout=values["platform"]["timeout"],
-        spread=SpreadOptions(
+        spread=ReplicationOptions(
             name=instance["name"],
             data_centre=instance["data_centre"],
             **values["peers"],
--- a/packages/entry/src/briarthread_entry/entry.py
+++ b/packages/entry/src/briarthread_entry/entry.py
@@ -15,15 +15,15 @@
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.shares.share_view import ShareView
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.spreader import EXCHANGE_PATH, Spreader
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH, FeedReplicator
 from briarthread_common.spread.table_source import TableSource
 from briarthread_common.text.text_view import TextView
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.limits.account_limiter import AccountLimiter
 from briarthread_entry.maps.group_planner import GroupPlanner
+from briarthread_entry.routing.load_watcher import LoadWatcher
 from briarthread_entry.routing.router import Router
 from briarthread_entry.routing.target_table import TargetTable
-from briarthread_entry.routing.watcher import Watcher
 from briarthread_entry.serving.attempt_sender import AttemptSender
 from briarthread_entry.serving.read_request import SERVICES_PREFIX
 from briarthread_entry.serving.request_handler import RequestHandler
@@ -51,7 +51,7 @@
         self.platform = PlatformClient(
             channel, settings.platform_addresses, settings.platform_timeout
         )
-        self.spreader = Spreader(
+        self.spreader = FeedReplicator(
             settings.spread,
             self.feeds,
             self.directory,
@@ -60,7 +60,7 @@
             rng,
         )
         self.table = TargetTable(settings.name, settings.data_centre, self.directory)
-        self.watcher = Watcher(
+        self.watcher = LoadWatcher(
             self.table, self.text, channel, self.spreader, clock, self.events, rng
         )
         self.planner = GroupPlanner(
