--- a/packages/agent/src/briarthread_agent/ranks/map_change.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change.py
@@ -1,4 +1,4 @@
-"""A new map of a group, and the one that it changes."""
+"""A change from a group's active map to a new one."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 @dataclass(frozen=True, slots=True)
 class MapChange:
     """
-    Hold a map's version and layers, and those of the map in force.
+    Hold the version and layers of a new map and of the active map, its base.
 
     >>> change = MapChange(2, [[[0], [1, 0]]], 1, [[[0], [1]]])
     >>> change.differences()
@@ -24,15 +24,15 @@
     base: int
     base_layers: Layers
 
-    def dealt(self) -> DealtMap | None:
-        """Describe the map in force if it deals experts out to ranks in turn."""
+    def round_robin_base(self) -> DealtMap | None:
+        """Describe the base map if it assigns experts to ranks round-robin."""
         ranks = len(self.base_layers[0])
         experts = len({expert for rank in self.base_layers[0] for expert in rank})
-        found = DealtMap(len(self.base_layers), experts, ranks)
-        return found if dealt_layers(found) == self.base_layers else None
+        candidate = DealtMap(len(self.base_layers), experts, ranks)
+        return candidate if round_robin_layers(candidate) == self.base_layers else None
 
     def differences(self) -> list[RankExperts]:
-        """Return what each rank holds otherwise than before."""
+        """Return the ranks whose experts differ from the base, with their experts."""
         return [
             RankExperts(number, rank, experts)
             for number, (layer, before) in enumerate(
@@ -43,19 +43,19 @@
         ]
 
 
-def dealt_layers(dealt: DealtMap) -> Layers:
+def round_robin_layers(dealt: DealtMap) -> Layers:
     """
-    Return the layers of a map that deals experts out to ranks in turn.
+    Return the layers of a map that assigns experts to ranks round-robin.
 
-    >>> dealt_layers(DealtMap(sets=1, experts=5, ranks=2))
+    >>> round_robin_layers(DealtMap(sets=1, experts=5, ranks=2))
     [[[0, 2, 4], [1, 3]]]
     """
     return even_map(NO_MAP, dealt.sets, dealt.experts, dealt.ranks).layers
 
 
 def apply_differences(base: Layers, differences: list[RankExperts]) -> Layers:
-    """Return the layers of a map from those that it changes."""
+    """Return the layers of a base map with differences applied to them."""
     layers = [[list(experts) for experts in layer] for layer in base]
-    for changed in differences:
-        layers[changed.number][changed.rank] = list(changed.experts)
+    for difference in differences:
+        layers[difference.number][difference.rank] = list(difference.experts)
     return layers
--- a/tests/ranks/conftest.py
+++ b/tests/ranks/conftest.py
@@ -1,11 +1,11 @@
-"""What all tests of groups share."""
+"""Fixtures for the tests of groups."""
 
 import pytest
 
 
 @pytest.fixture(autouse=True)
 def long_passes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the stand-in's passes count as those of a fully loaded group."""
+    """Treat the stand-in's passes as those of a fully loaded group."""
     monkeypatch.setattr(
         "briarthread_common.placement.set_rebalance.ZERO_WEIGHT_PASS_SECONDS", 0.01
     )
