--- a/packages/common/src/briarthread_common/direct/route_view.py
+++ b/packages/common/src/briarthread_common/direct/route_view.py
@@ -19,7 +19,7 @@
     def __init__(self, feed: Feed, adapter: PlatformAdapter) -> None:
         self.feed = feed
         self.adapter = adapter
-        self.number = 0
+        self.feed_version = 0
         self.routes: RouteMap | None = None
 
     async def follow(self) -> None:
@@ -31,8 +31,8 @@
 
     def current(self) -> RouteMap | None:
         """Return the configuration in force, ``None`` before the first one."""
-        if self.number != self.feed.number:
-            self.number = self.feed.number
+        if self.feed_version != self.feed.number:
+            self.feed_version = self.feed.number
             self._decode()
         return self.routes
 
--- a/packages/common/src/briarthread_common/placement/set_rebalance.py
+++ b/packages/common/src/briarthread_common/placement/set_rebalance.py
@@ -1,8 +1,8 @@
 """
 Rebalancing of one set of experts under demand that shifts within seconds.
 
-The popularity of experts changes every few seconds, and the group carries so many
-requests that the duration of its passes decides how many are served in time. A
+It is meant for experts whose popularity changes every few seconds, in a group with so
+many requests that the duration of its passes decides how many are served in time. A
 change pays off where the time it takes off the coming passes is worth more than
 loading the experts. The slowest rank of each set adds to the duration of the pass,
 so each set is decided on its own.
@@ -81,7 +81,7 @@
 def search_set_changes(
     layer: Layer,
     counts: list[float],
-    others: float,
+    other_sets_load: float,
     expert_layout: ExpertLayout,
     duration: PassDuration,
     slowdown: Sequence[float] = (),
@@ -91,9 +91,9 @@
 
     The last one has the highest saving net of cost; without a worthwhile change
     it is the present placement. Callers can do other work between two steps.
-    ``others`` is the sum of the slowest ranks' loads of the other sets, from which
-    this set's share of the pass is derived. ``slowdown`` is the factor by which each
-    rank takes longer for a token; by default all ranks take the same time.
+    ``other_sets_load`` is the sum of the slowest ranks' loads of the other sets, from
+    which this set's share of the pass is derived. ``slowdown`` is the factor by which
+    each rank takes longer for a token; by default all ranks take the same time.
 
     >>> expert_layout = ExpertLayout(1, 4, 3, 3)
     >>> busy = PassDuration(0.1, 0.03)
@@ -109,7 +109,7 @@
         return
     variable_seconds = (duration.seconds - duration.fixed) * duration.expert_share
     load_value = variable_seconds / duration.seconds * HORIZON_SECONDS * duration.weight
-    load_value /= slowest + others
+    load_value /= slowest + other_sets_load
     load_cost = EXPERT_LOAD_COST_SECONDS * min(LOAD_COST_RANKS / len(layer), 1.0)
     max_loads = MAX_LOADS_PER_RANK * len(layer)
     patience = max(SEARCH_PATIENCE_LOADS, SEARCH_PATIENCE_PER_RANK * len(layer))
--- a/packages/common/src/briarthread_common/spread/directory.py
+++ b/packages/common/src/briarthread_common/spread/directory.py
@@ -20,14 +20,14 @@
 
     def __init__(self, feed: Feed) -> None:
         self.feed = feed
-        self.number = -1
+        self.feed_version = -1
         self.rows: dict[str, Instance] = {}
         self.decoded: dict[str, tuple[str, Instance | None]] = {}
 
     def all(self) -> dict[str, Instance]:
         """Return all known instances by name."""
-        if self.number != self.feed.number:
-            self.number = self.feed.number
+        if self.feed_version != self.feed.number:
+            self.feed_version = self.feed.number
             self.decoded = {
                 name: self._decode(name, raw) for name, raw in self.feed.items.items()
             }
