--- a/packages/agent/src/briarthread_agent/shares/share_manager.py
+++ b/packages/agent/src/briarthread_agent/shares/share_manager.py
@@ -236,14 +236,10 @@
         return successor is not None and successor.name == self.instance.name
 
     def _next_holder(self, share: int, excluded: set[str]) -> Instance | None:
-        instances = self.directory.targets(
+        agents = self.directory.targets(
             self.instance.service, self.instance.data_centre
         )
-        by_name = {
-            instance.name: instance
-            for instance in instances
-            if instance.name not in excluded
-        }
+        by_name = {agent.name: agent for agent in agents if agent.name not in excluded}
         key = share_name(self.instance.service, self.instance.data_centre, share)
         order = rendezvous_order(key, by_name)
         return by_name[order[0]] if order else None
