--- a/packages/agent/src/briarthread_agent/limits/target_backoff.py
+++ b/packages/agent/src/briarthread_agent/limits/target_backoff.py
@@ -4,7 +4,7 @@
 from loguru import logger
 
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.direct.answer_notice import AnswerNotice
+from briarthread_common.direct.response_signals import ResponseSignals
 from briarthread_common.utils.backoff import Backoff
 
 
@@ -21,7 +21,7 @@
         self.backoff: Backoff | None = None
         self.extended = anyio.Event()
 
-    def note_response(self, signals: AnswerNotice) -> None:
+    def note_response(self, signals: ResponseSignals) -> None:
         """Record the signals in the head of a response."""
         now = anyio.current_time()
         if signals.backoff > 0:
