--- a/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
+++ b/packages/agent/src/briarthread_agent/ranks/demand_tracker.py
@@ -24,8 +24,8 @@
     the others keep counting, with a weight that decays with their age.
     """
 
-    def __init__(self, figures: ExpertLayout) -> None:
-        self.figures = figures
+    def __init__(self, layout: ExpertLayout) -> None:
+        self.layout = layout
         self.answers: dict[int, tuple[float, RankAnswer]] = {}
         self.last_sample: tuple[int, int, float] | None = None
 
@@ -36,7 +36,7 @@
         Return ``None`` if there is no earlier view of the same epoch, or if the group
         has made fewer than ``MIN_PASSES`` passes since.
         """
-        size = self.figures.sets * self.figures.experts
+        size = self.layout.sets * self.layout.experts
         for member in view.members:
             if len(member.answer.counts) == size:
                 self.answers[member.state.rank] = (now, member.answer)
@@ -48,8 +48,8 @@
 
     def demand(self, now: float) -> list[list[float]]:
         """Return the demand for each expert of each set."""
-        experts = self.figures.experts
-        totals = [0.0] * (self.figures.sets * experts)
+        experts = self.layout.experts
+        totals = [0.0] * (self.layout.sets * experts)
         newest = max(
             (answered_at for answered_at, _ in self.answers.values()), default=now
         )
@@ -62,5 +62,5 @@
             for number, count in enumerate(answer.counts):
                 totals[number] += count * weight
         return [
-            totals[n * experts : (n + 1) * experts] for n in range(self.figures.sets)
+            totals[n * experts : (n + 1) * experts] for n in range(self.layout.sets)
         ]
--- a/packages/agent/src/briarthread_agent/ranks/rank_planner.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_planner.py
@@ -167,10 +167,10 @@
         They are far apart in the list, so that no relay has to forward the counts of
         several agents.
         """
-        figures = service.experts
+        layout = service.experts
         addresses = sorted(self.peers.addresses(self.group))
         max_agents = max(
-            MAX_COUNTS_PER_POLL // (figures.sets * figures.experts), MIN_COUNTED_RANKS
+            MAX_COUNTS_PER_POLL // (layout.sets * layout.experts), MIN_COUNTED_RANKS
         )
         if len(addresses) <= max_agents:
             return addresses
@@ -215,15 +215,15 @@
         current = await self.peers.view(group, RankQuery(fence, with_experts=True))
         if current.fault or current.epoch != view.epoch:
             return False
-        figures = service.experts
-        if any(len(m.answer.experts) != figures.sets for m in current.members):
+        layout = service.experts
+        if any(len(m.answer.experts) != layout.sets for m in current.members):
             return False
         self.layers = [
             [member.answer.experts[number] for member in current.members]
-            for number in range(figures.sets)
+            for number in range(layout.sets)
         ]
-        if self.demand_tracker is None or self.demand_tracker.figures != figures:
-            self.demand_tracker = DemandTracker(figures)
+        if self.demand_tracker is None or self.demand_tracker.layout != layout:
+            self.demand_tracker = DemandTracker(layout)
         self.active_map = known
         return True
 
@@ -231,8 +231,10 @@
         self, service: DirectService, view: GroupView, pass_seconds: float
     ) -> tuple[Layers, int, float]:
         """Return improved layers, the number of loads and the seconds saved."""
-        engine, figures = service.engine, service.experts
-        length = PassDuration(pass_seconds, engine.steps_per_pass * engine.step_seconds)
+        engine, layout = service.engine, service.experts
+        duration = PassDuration(
+            pass_seconds, engine.steps_per_pass * engine.step_seconds
+        )
         demand = self.demand_tracker.demand(anyio.current_time())
         slowdown = [member.state.slowdown for member in view.members]
         slowest = [
@@ -245,7 +247,7 @@
             other_sets = sum(slowest) - slowest[number]
             change = SetChange(layer, 0, 0.0)
             for found in search_set_changes(
-                layer, demand[number], other_sets, figures, length, slowdown
+                layer, demand[number], other_sets, layout, duration, slowdown
             ):
                 change = found
                 await anyio.sleep(0)
