--- a/packages/agent/src/briarthread_agent/ranks/map_change_coordinator.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change_coordinator.py
@@ -95,7 +95,7 @@
 """Time after a lost order in which further losses are expected."""
 MIN_LEAD_PASSES = 4
 """Minimum lead in passes, for a group whose passes are short or that is idle."""
-RETRY_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 HOLD_TIMEOUT_SECONDS = 0.4
 """
 Longest wait for an unanswered hold order to take effect.
@@ -238,7 +238,7 @@
                     answer.state, request.epoch, request.step
                 ):
                     return False
-                await anyio.sleep(RETRY_SECONDS)
+                await anyio.sleep(RETRY_PAUSE_SECONDS)
         return False
 
     async def _withdraw(self, holder: Member, request: AcceptRequest) -> bool:
@@ -295,7 +295,7 @@
                 unarmed -= {name for name, answer in answers.items() if answer.taken}
                 if due & unarmed:
                     self._record_lost_order()
-                    await anyio.sleep(RETRY_SECONDS)
+                    await anyio.sleep(RETRY_PAUSE_SECONDS)
         return not unarmed
 
     async def _arm_engines(
@@ -324,7 +324,7 @@
                 if answer is not None and answer.taken:
                     return
                 self._record_lost_order()
-                await anyio.sleep(RETRY_SECONDS)
+                await anyio.sleep(RETRY_PAUSE_SECONDS)
 
 
 def _is_too_late(state: RankState | None, epoch: int, step: int) -> bool:
--- a/packages/agent/src/briarthread_agent/ranks/map_stager.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_stager.py
@@ -18,13 +18,13 @@
 
 MAX_STAGE_ATTEMPTS = 4
 """
-Number of times that a rank which did not accept the order is ordered to load.
+Number of times that a rank is ordered to load if it does not accept the order.
 
-A rank that accepted an order without an answer rejects the next one, and loads the
-map all the same.
+A rank that accepted an order without an answer rejects the next one, but loads the
+map nevertheless.
 """
 MAX_FULL_MAPS_AT_ONCE = 12
-"""Agents that are sent a full map at once; it has about 120 KB for 63 ranks."""
+"""Number of agents that are sent a full map at once, about 120 KB for 63 ranks."""
 POLL_SECONDS = 0.08
 """Pause between two queries of the ranks while they load."""
 POLL_SECONDS_PER_RANK = 0.0015
--- a/packages/agent/src/briarthread_agent/ranks/rank_controller.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_controller.py
@@ -157,7 +157,7 @@
             counts = await self._read_counts() if request.with_counts else []
             experts = await self.engine.experts() if request.with_experts else []
         except RankError as error:
-            logger.debug("rank: {}", error)
+            logger.debug("rank: counts or experts not read: {}", error)
             return RankAnswer(True)
         silence = min(anyio.current_time() - self.planner_seen_at, LONG_SILENCE)
         unit = self.demand.count_unit() if counts else 1.0
@@ -269,20 +269,20 @@
         try:
             return await self._read_state()
         except RankError as error:
-            logger.debug("rank: {}", error)
+            logger.debug("rank: state not read: {}", error)
             return None
 
     async def poll_counts(self) -> None:
         """Read the rank's counts periodically until cancelled."""
         while True:
-            count_total = len(self.demand.totals)
+            counts_length = len(self.demand.totals)
             await anyio.sleep(
-                max(COUNT_POLL_SECONDS, count_total * POLL_SECONDS_PER_COUNT)
+                max(COUNT_POLL_SECONDS, counts_length * POLL_SECONDS_PER_COUNT)
             )
             try:
                 await self._read_counts()
             except RankError as error:
-                logger.debug("rank: {}", error)
+                logger.debug("rank: counts not read: {}", error)
 
     async def _read_counts(self) -> list[int]:
         self.demand.update(anyio.current_time(), await self.engine.counts())
--- a/packages/agent/src/briarthread_agent/ranks/rank_peers.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_peers.py
@@ -46,7 +46,7 @@
 """
 Minimum time between two searches for a missing rank in other groups.
 
-A search calls the agents of all other groups too. A rank that joins a group takes
+A search calls the agents of all other groups as well. A rank that joins a group takes
 longer than this to load any experts.
 """
 
--- a/tests/ranks/test_map_stager.py
+++ b/tests/ranks/test_map_stager.py
@@ -21,7 +21,7 @@
         self.orders = 0
         self.views = 0
 
-    def build(self, addresses: tuple[str, ...]) -> GroupView:
+    def build_view_of(self, addresses: tuple[str, ...]) -> GroupView:
         """Return the view of a group from the answers of some agents."""
         answers = {}
         for address in addresses:
@@ -34,7 +34,7 @@
     async def view(self, group: str, query: object) -> GroupView:
         """Return a view, the first one without the second agent."""
         self.views += 1
-        return self.build(ADDRESSES[:1] if self.views == 1 else ADDRESSES)
+        return self.build_view_of(ADDRESSES[:1] if self.views == 1 else ADDRESSES)
 
     async def call(
         self, path: str, messages: dict, answer: type, seconds: float
@@ -50,7 +50,7 @@
     async def run() -> None:
         peers = PeersLosingFirstCalls()
         change = MapChange(VERSION, [[[0], [1]]], 1, [[[1], [0]]])
-        stager = MapStager(peers, peers.build(ADDRESSES), 1, change)
+        stager = MapStager(peers, peers.build_view_of(ADDRESSES), 1, change)
         staged = False
         with anyio.move_on_after(5):
             staged = await stager.run()
--- a/tests/ranks/test_several_groups.py
+++ b/tests/ranks/test_several_groups.py
@@ -13,7 +13,7 @@
 """Time from the start within which every group has a planner and a better map."""
 
 
-def assert_one_map_a_pass(world: GroupWorld) -> None:
+def assert_one_map_per_pass(world: GroupWorld) -> None:
     assert [group.violations for group in world.groups] == [[]] * len(world.groups)
 
 
@@ -29,7 +29,7 @@
         for group, skew in zip(world.groups, before, strict=True):
             assert world.planner(group) is not None
             assert_better_than(group, skew)
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=sizes)
 
@@ -38,21 +38,21 @@
 def test_map_of_a_group_follows_only_its_own_demand(sizes: tuple[int, ...]) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
-        still = [group.ranks[0].map_version for group in world.groups[:-1]]
+        versions_before = [group.ranks[0].map_version for group in world.groups[:-1]]
         prefer(world.groups[-1], hot=6)
         before = world.groups[-1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[-1], before)
-        found = [group.ranks[0].map_version for group in world.groups[:-1]]
-        assert all(b - a <= 1 for a, b in zip(still, found, strict=True))
-        assert_one_map_a_pass(world)
+        versions_after = [group.ranks[0].map_version for group in world.groups[:-1]]
+        assert all(
+            b - a <= 1 for a, b in zip(versions_before, versions_after, strict=True)
+        )
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=sizes)
 
 
-def test_group_whose_planner_is_frozen_gets_another_and_the_others_keep_theirs() -> (
-    None
-):
+def test_only_the_group_whose_planner_is_frozen_gets_another_planner() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         frozen, other = world.planner(world.groups[0]), world.planner(world.groups[1])
@@ -66,7 +66,7 @@
         assert_better_than(world.groups[0], before)
         assert not world.agents[frozen].planner.role.is_held()
         assert world.planner(world.groups[1]) == other
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=(4, 4))
 
@@ -79,13 +79,13 @@
         before = world.groups[1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[1], before)
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=(4, 4))
 
 
 @pytest.mark.parametrize("platform_unavailable", [False, True])
-def test_rank_that_changes_its_group_is_planned_for_there(
+def test_rank_that_changes_its_group_gets_maps_of_the_new_group(
     platform_unavailable: bool,
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
@@ -101,7 +101,7 @@
         for group, skew in zip(world.groups, before, strict=True):
             assert_better_than(group, skew)
             assert {rank.map_version for rank in group.ranks} != {0}
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=(5, 4))
 
@@ -119,7 +119,7 @@
         assert world.planner(left) not in (None, moved)
         assert world.planner(joined) == stays
         assert_better_than(left, before)
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=(4, 4))
 
@@ -131,7 +131,7 @@
         before = world.groups[1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[1], before)
-        assert_one_map_a_pass(world)
+        assert_one_map_per_pass(world)
 
     in_group_world(scenario, sizes=(4, 4))
 
@@ -140,11 +140,11 @@
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
         controller = world.agents[0].controller
-        heard, fence = controller.planner_seen_at, controller.fence
+        seen_at, fence = controller.planner_seen_at, controller.fence
         answer = await controller.query(RankQuery(fence + 5, group="g-1"))
         assert answer.accepted
         assert answer.state.group == "g-0"
-        assert (controller.planner_seen_at, controller.fence) == (heard, fence)
+        assert (controller.planner_seen_at, controller.fence) == (seen_at, fence)
         order = ArmRequest(fence + 5, 1, 99, 10_000, group="g-1")
         assert not (await controller.arm(order)).taken
         assert world.groups[0].ranks[0].armed is None
--- a/tests/ranks/test_slow_ranks.py
+++ b/tests/ranks/test_slow_ranks.py
@@ -9,7 +9,7 @@
 SLOW_PACE = 5.0
 
 
-def usable(world: GroupWorld) -> list[str]:
+def usable_ranks(world: GroupWorld) -> list[str]:
     """Return the ranks to which an entry sends new requests."""
     slow_ranks = world.world.entries["entry-1"].slow_ranks
     states = slow_ranks.usable(SERVICE, anyio.current_time())
@@ -25,10 +25,12 @@
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        assert usable(world) == ALL_RANKS
+        assert usable_ranks(world) == ALL_RANKS
         world.group.ranks[slow].pace = SLOW_PACE
         await anyio.sleep(4)
-        assert usable(world) == [name for name in ALL_RANKS if name != f"rank-{slow}"]
+        assert usable_ranks(world) == [
+            name for name in ALL_RANKS if name != f"rank-{slow}"
+        ]
         assert world.group.work(slow) < 1.5 / SLOW_PACE
         assert world.group.violations == []
 
@@ -41,7 +43,7 @@
         await anyio.sleep(4)
         world.group.ranks[1].pace = 1.0
         await anyio.sleep(3)
-        assert usable(world) == ALL_RANKS
+        assert usable_ranks(world) == ALL_RANKS
         await anyio.sleep(3)
         assert world.group.work(1) > 0.5
 
@@ -52,11 +54,11 @@
     async def scenario(world: GroupWorld) -> None:
         world.group.ranks[1].pace = SLOW_PACE
         await anyio.sleep(4)
-        assert usable(world) != ALL_RANKS
+        assert usable_ranks(world) != ALL_RANKS
         for number in list(world.agents):
             world.kill_agent(number)
         await anyio.sleep(3)
-        assert usable(world) == ALL_RANKS
+        assert usable_ranks(world) == ALL_RANKS
 
     in_group_world(scenario)
 
@@ -66,6 +68,6 @@
         for rank in world.group.ranks:
             rank.pace = SLOW_PACE
         await anyio.sleep(4)
-        assert usable(world) == ALL_RANKS
+        assert usable_ranks(world) == ALL_RANKS
 
     in_group_world(scenario)
