--- a/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -35,12 +35,12 @@
 
     def __init__(
         self,
-        rooms: GroupCapacityTracker,
+        capacity: GroupCapacityTracker,
         crashes: CrashTracker,
         backoffs: TargetBackoffs,
         events: EventLog,
     ) -> None:
-        self.rooms = rooms
+        self.capacity = capacity
         self.backoffs = backoffs
         self.crashes = crashes
         self.events = events
@@ -97,8 +97,8 @@
                 self.crashes.note_alive(name, began)
             case NotRun(written=True, replaced=False, faulty_rank=""):
                 self.crashes.note_alive(name, began)
-            case OutcomeUnknown(connection_lost=True) if not self.rooms.book.is_leaving(
-                state
+            case OutcomeUnknown(connection_lost=True) if (
+                not self.capacity.book.is_leaving(state)
             ):
                 in_group = request.service.engine is not None
                 stalled = in_group and now - began > GROUP_STALL_SECONDS
@@ -143,8 +143,8 @@
         self._note_attempt_failed(request, state, reason)
         state.replaced = state.replaced or refusal.replaced
         if refusal.faulty_rank:
-            group = self.rooms.membership.group_of(state.target)
-            self.rooms.note_refused(group, refusal.faulty_rank)
+            group = self.capacity.membership.group_of(state.target)
+            self.capacity.note_refused(group, refusal.faulty_rank)
 
 
 def _describe_stream(request: DirectRequest, stream: StreamRelayed) -> str:
--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -159,7 +159,7 @@
         it never keeps the probes of a group away that is taken to be broken.
         """
         health = self.health(group)
-        said = self.slow_ranks.groups.is_serving(group, now)
+        said = self.slow_ranks.group_reports.is_serving(group, now)
         flowing = now - self.meter(service, group).last_event <= RECENT_EVENT_SECONDS
         if said is False and not flowing and not health.broken:
             health.note_broken(now)
--- a/packages/entry/src/briarthread_entry/direct/slow_ranks.py
+++ b/packages/entry/src/briarthread_entry/direct/slow_ranks.py
@@ -28,17 +28,22 @@
     """Select the ranks for new requests and move streams off slow ranks."""
 
     def __init__(
-        self, registry: TargetRegistry, roster: GroupMembership, groups: GroupReports
+        self,
+        registry: TargetRegistry,
+        membership: GroupMembership,
+        group_reports: GroupReports,
     ) -> None:
         self.registry = registry
-        self.roster = roster
-        self.groups = groups
+        self.membership = membership
+        self.group_reports = group_reports
         self.attempts: set[_WatchedAttempt] = set()
 
     def usable(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the ranks of a service that may get new requests."""
         ranks: list[DirectTargetState] = []
-        by_group = self.roster.by_group(self.registry.available_targets(service, now))
+        by_group = self.membership.by_group(
+            self.registry.available_targets(service, now)
+        )
         for group, states in by_group.items():
             ranks += self._usable_of(group, states, now)
         return ranks
@@ -46,10 +51,10 @@
     def _usable_of(
         self, group: GroupId, states: list[DirectTargetState], now: float
     ) -> list[DirectTargetState]:
-        if not self.groups.has_slow_rank(group, now):
+        if not self.group_reports.has_slow_rank(group, now):
             return states
         return without_slow(
-            states, lambda address: self.groups.slowdown(group, address, now)
+            states, lambda address: self.group_reports.slowdown(group, address, now)
         )
 
     @contextmanager
@@ -77,13 +82,13 @@
                 if factor is not None:
                     self.attempts.discard(attempt)
                     attempt.leave(factor)
-            await self.groups.wait_change()
+            await self.group_reports.wait_change()
 
     def _leave_factor(self, attempt: "_WatchedAttempt") -> float | None:
         now = anyio.current_time()
         service, state = attempt.service, attempt.state
-        group = self.roster.group_of(state.target)
-        factor = self.groups.slowdown(group, state.target.address, now)
+        group = self.membership.group_of(state.target)
+        factor = self.group_reports.slowdown(group, state.target.address, now)
         if factor < MIN_MOVE_FACTOR or state in self.usable(service, now):
             return None
         return factor
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -43,13 +43,13 @@
         self.rng = rng
         self.backoffs: dict[str, Backoff] = {}
 
-    def note_response(self, target: str, notice: ResponseSignals, now: float) -> None:
+    def note_response(self, target: str, signals: ResponseSignals, now: float) -> None:
         """Update the backoff of a target from the head of a response."""
-        if notice.backoff > 0:
-            self._extend(target, notice.backoff, now)
+        if signals.backoff > 0:
+            self._extend(target, signals.backoff, now)
             return
         backoff = self.backoffs.get(target)
-        if backoff is not None and not notice.failed:
+        if backoff is not None and not signals.failed:
             backoff.note_success(now)
             if backoff.finished():
                 del self.backoffs[target]
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -40,8 +40,8 @@
         self,
         data_centre: str,
         registry: TargetRegistry,
-        board: PeerReports,
-        rooms: GroupCapacityTracker,
+        peer_reports: PeerReports,
+        capacity: GroupCapacityTracker,
         slow_ranks: SlowRanks,
         assigned_slots: AssignedSlots,
         tokens: LimitTokens,
@@ -51,8 +51,8 @@
     ) -> None:
         self.data_centre = data_centre
         self.registry = registry
-        self.board = board
-        self.rooms = rooms
+        self.peer_reports = peer_reports
+        self.capacity = capacity
         self.slow_ranks = slow_ranks
         self.assigned_slots = assigned_slots
         self.tokens = tokens
@@ -120,19 +120,21 @@
         Return all targets if there are none, or if no backoff is reported. A backoff
         binds only the entry that received it, so the reported targets remain usable.
         """
-        if not self.board.backoff_until:
+        if not self.peer_reports.backoff_until:
             return states
         preferred = [
             state
             for state in states
-            if not self.board.is_backing_off(state.target.name, now)
+            if not self.peer_reports.is_backing_off(state.target.name, now)
             and self._total_running(state, now) < state.target.slots
         ]
         return preferred or states
 
     def _total_running(self, state: DirectTargetState, now: float) -> int:
         """Return the number of attempts that all entries are running at a target."""
-        return state.running + self.board.running_elsewhere(state.target.name, now)
+        return state.running + self.peer_reports.running_elsewhere(
+            state.target.name, now
+        )
 
     async def _wait(
         self, states: list[DirectTargetState], now: float, wait_left: float
@@ -184,7 +186,7 @@
         service = request.service.name
 
         def elsewhere(name: str) -> int:
-            return self.board.running_elsewhere(name, now)
+            return self.peer_reports.running_elsewhere(name, now)
 
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
@@ -212,5 +214,5 @@
         """Return the ranks in the given groups, or all ranks if none is in them."""
         if groups is None:
             return states
-        group_of = self.rooms.membership.group_of
+        group_of = self.capacity.membership.group_of
         return [state for state in states if group_of(state.target) in groups] or states
