--- a/packages/entry/src/briarthread_entry/direct/assigned_slots.py
+++ b/packages/entry/src/briarthread_entry/direct/assigned_slots.py
@@ -25,7 +25,9 @@
         self.directory = directory
         self.cache: dict[str, tuple[tuple[object, ...], Mapping[str, int]]] = {}
 
-    def of(self, service: str, ranks: Sequence[DirectTarget]) -> Mapping[str, int]:
+    def per_rank(
+        self, service: str, ranks: Sequence[DirectTarget]
+    ) -> Mapping[str, int]:
         """Return the number of assigned slots per name of a service's ranks."""
         version = (self.directory.feed.number, *(rank.name for rank in ranks))
         cached = self.cache.get(service)
--- a/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -119,7 +119,7 @@
 
     def _backing_off(self, state: DirectTargetState, status: int) -> bool:
         now = anyio.current_time()
-        return status == SERVICE_UNAVAILABLE and self.backoffs.active(
+        return status == SERVICE_UNAVAILABLE and self.backoffs.is_active(
             state.target.name, now
         )
 
--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -104,7 +104,9 @@
 
     def _all_capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
         service = request.service
-        usable = self.membership.by_group(self.slow_ranks.usable(service.name, now))
+        usable = self.membership.by_group(
+            self.slow_ranks.usable_ranks(service.name, now)
+        )
         return {
             group: self._capacity(request, group, states, now)
             for group, states in usable.items()
--- a/packages/entry/src/briarthread_entry/direct/limit_tokens.py
+++ b/packages/entry/src/briarthread_entry/direct/limit_tokens.py
@@ -62,7 +62,7 @@
         self.metrics = metrics
         self.issuer = TokenIssuer()
         self.unresponsive = PassedOver(SKIP_SECONDS)
-        self.closed: dict[str, float] = {}
+        self.denied_until: dict[str, float] = {}
 
     def routes(self) -> list[Route]:
         """Return the route on which other entries request tokens."""
@@ -75,14 +75,14 @@
     def opens_at(self, target: str, now: float) -> float:
         """Return when a token may be requested, ``now`` if it may be already."""
         if not self.is_limited(target):
-            self.closed.pop(target, None)
-        return self.closed.get(target, now)
+            self.denied_until.pop(target, None)
+        return self.denied_until.get(target, now)
 
     def retain(self, targets: Container[str]) -> None:
         """Forget all targets except the given ones."""
         self.issuer.retain(targets)
-        for name in [name for name in self.closed if name not in targets]:
-            del self.closed[name]
+        for name in [name for name in self.denied_until if name not in targets]:
+            del self.denied_until[name]
 
     async def acquire(self, target: DirectTarget, wait: float) -> bool:
         """
@@ -99,7 +99,7 @@
         if answer.granted:
             await anyio.sleep(answer.pause)
             return True
-        self.closed[target.name] = anyio.current_time() + answer.pause
+        self.denied_until[target.name] = anyio.current_time() + answer.pause
         return False
 
     async def _request(self, target: DirectTarget, ask: TokenAsk) -> TokenAnswer:
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -197,7 +197,7 @@
         service = request.service.name
         with (
             anyio.CancelScope() as scope,
-            self.slow_ranks.watched(service, state, leave),
+            self.slow_ranks.watch(service, state, leave),
         ):
             return await self.sender.send(request, state, relay)
         return left[0]
--- a/packages/entry/src/briarthread_entry/direct/slow_ranks.py
+++ b/packages/entry/src/briarthread_entry/direct/slow_ranks.py
@@ -38,7 +38,7 @@
         self.group_reports = group_reports
         self.attempts: set[_WatchedAttempt] = set()
 
-    def usable(self, service: str, now: float) -> list[DirectTargetState]:
+    def usable_ranks(self, service: str, now: float) -> list[DirectTargetState]:
         """Return the ranks of a service that may get new requests."""
         ranks: list[DirectTargetState] = []
         by_group = self.membership.by_group(
@@ -58,16 +58,16 @@
         )
 
     @contextmanager
-    def watched(
-        self, service: str, state: DirectTargetState, leave: Callable[[float], None]
+    def watch(
+        self, service: str, state: DirectTargetState, on_slow: Callable[[float], None]
     ) -> Iterator[None]:
         """
-        Call ``leave`` at most once, with the slowdown, when the rank is too slow.
+        Call ``on_slow`` at most once, with the slowdown, when the rank is too slow.
 
         Nothing is awaited on exit, so that a finished attempt is recorded before its
         caller's next request.
         """
-        attempt = _WatchedAttempt(service, state, leave)
+        attempt = _WatchedAttempt(service, state, on_slow)
         self.attempts.add(attempt)
         try:
             yield
@@ -78,18 +78,18 @@
         """Move attempts off slow ranks until cancelled."""
         while True:
             for attempt in list(self.attempts):
-                factor = self._leave_factor(attempt)
+                factor = self._move_factor(attempt)
                 if factor is not None:
                     self.attempts.discard(attempt)
-                    attempt.leave(factor)
+                    attempt.on_slow(factor)
             await self.group_reports.wait_change()
 
-    def _leave_factor(self, attempt: "_WatchedAttempt") -> float | None:
+    def _move_factor(self, attempt: "_WatchedAttempt") -> float | None:
         now = anyio.current_time()
         service, state = attempt.service, attempt.state
         group = self.membership.group_of(state.target)
         factor = self.group_reports.slowdown(group, state.target.address, now)
-        if factor < MIN_MOVE_FACTOR or state in self.usable(service, now):
+        if factor < MIN_MOVE_FACTOR or state in self.usable_ranks(service, now):
             return None
         return factor
 
@@ -98,4 +98,4 @@
 class _WatchedAttempt:
     service: str
     state: DirectTargetState
-    leave: Callable[[float], None]
+    on_slow: Callable[[float], None]
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -34,7 +34,7 @@
     >>> backoffs = TargetBackoffs(Metrics(), random.Random(1))
     >>> backoffs.note_response("t-1", ResponseSignals(backoff=3.0), now=1.0)
     >>> backoffs.note_response("t-1", ResponseSignals(backoff=0.5), now=2.0)
-    >>> backoffs.active("t-1", now=3.9), backoffs.active("t-1", now=4.0)
+    >>> backoffs.is_active("t-1", now=3.9), backoffs.is_active("t-1", now=4.0)
     (True, False)
     """
 
@@ -54,7 +54,7 @@
             if backoff.finished():
                 del self.backoffs[target]
 
-    def active(self, target: str, now: float) -> bool:
+    def is_active(self, target: str, now: float) -> bool:
         """Return whether a target's backoff is in effect."""
         backoff = self.backoffs.get(target)
         return backoff is not None and now < backoff.until
--- a/packages/entry/src/briarthread_entry/direct/target_chooser.py
+++ b/packages/entry/src/briarthread_entry/direct/target_chooser.py
@@ -176,7 +176,7 @@
         if service.engine is None:
             states = self.registry.available_targets(service.name, now)
         else:
-            states = self.slow_ranks.usable(service.name, now)
+            states = self.slow_ranks.usable_ranks(service.name, now)
         untried = [state for state in states if state.target.name not in tried]
         return self._in_groups(untried, groups)
 
@@ -191,7 +191,9 @@
         if request.service.engine is None:
             return choose_plain(states, elsewhere, self.data_centre, now, self.rng)
         listed = self.registry.available_targets(service, now)
-        assigned = self.assigned_slots.of(service, [state.target for state in listed])
+        assigned = self.assigned_slots.per_rank(
+            service, [state.target for state in listed]
+        )
         return choose_rank(states, elsewhere, assigned, now, self.rng)
 
     def _without_suspects(
--- a/packages/entry/src/briarthread_entry/direct/targets_closed.py
+++ b/packages/entry/src/briarthread_entry/direct/targets_closed.py
@@ -13,6 +13,6 @@
     """
 
     def __init__(self, kind: ErrorKind, opens_in: float) -> None:
-        super().__init__(f"no target accepts a request for {opens_in:.3f} s")
+        super().__init__(f"no target takes a request for {opens_in:.3f} s")
         self.kind = kind
         self.opens_in = opens_in
--- a/packages/measure/src/briarthread_measure/limit_ways.py
+++ b/packages/measure/src/briarthread_measure/limit_ways.py
@@ -51,12 +51,12 @@
         now = anyio.current_time()
         rate = part(target, entry.limits.limit_of(target.name) or 0.0)
         if rate <= 0:
-            entry.tokens.closed[target.name] = now + 1.0
+            entry.tokens.denied_until[target.name] = now + 1.0
             return False
         bucket = buckets.setdefault(target.name, TokenBucket(1.0, now))
         pause = bucket.take(rate, now)
         if pause > 0:
-            entry.tokens.closed[target.name] = now + pause
+            entry.tokens.denied_until[target.name] = now + pause
         return pause == 0
 
     entry.tokens.acquire = take
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -133,10 +133,10 @@
         now = anyio.current_time()
         report = GroupReport(True, dict.fromkeys(hosts, 3.0), "g-0")
         entry.group_reports.put(FIRST, report, now)
-        assert len(entry.slow_ranks.usable(MODEL, now)) == RANKS
+        assert len(entry.slow_ranks.usable_ranks(MODEL, now)) == RANKS
         one = GroupReport(True, {hosts[0]: 3.0}, "g-0")
         entry.group_reports.put(FIRST, one, now)
-        names = {s.target.name for s in entry.slow_ranks.usable(MODEL, now)}
+        names = {s.target.name for s in entry.slow_ranks.usable_ranks(MODEL, now)}
         assert names == {f"rank-{n}" for n in range(1, RANKS)}
 
     in_two_groups(scenario)
