--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -104,7 +104,9 @@
 
     def _all_capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
         service = request.service
-        usable = self.membership.by_group(self.slow_ranks.usable(service.name, now))
+        usable = self.membership.by_group(
+            self.slow_ranks.usable_ranks(service.name, now)
+        )
         return {
             group: self._capacity(request, group, states, now)
             for group, states in usable.items()
@@ -159,7 +161,7 @@
         it never keeps the probes of a group away that is taken to be broken.
         """
         health = self.health(group)
-        said = self.slow_ranks.groups.is_serving(group, now)
+        said = self.slow_ranks.group_reports.is_serving(group, now)
         flowing = now - self.meter(service, group).last_event <= RECENT_EVENT_SECONDS
         if said is False and not flowing and not health.broken:
             health.note_broken(now)
--- a/packages/entry/src/briarthread_entry/direct/target_backoffs.py
+++ b/packages/entry/src/briarthread_entry/direct/target_backoffs.py
@@ -34,7 +34,7 @@
     >>> backoffs = TargetBackoffs(Metrics(), random.Random(1))
     >>> backoffs.note_response("t-1", ResponseSignals(backoff=3.0), now=1.0)
     >>> backoffs.note_response("t-1", ResponseSignals(backoff=0.5), now=2.0)
-    >>> backoffs.active("t-1", now=3.9), backoffs.active("t-1", now=4.0)
+    >>> backoffs.is_active("t-1", now=3.9), backoffs.is_active("t-1", now=4.0)
     (True, False)
     """
 
@@ -43,18 +43,18 @@
         self.rng = rng
         self.backoffs: dict[str, Backoff] = {}
 
-    def note_response(self, target: str, notice: ResponseSignals, now: float) -> None:
+    def note_response(self, target: str, signals: ResponseSignals, now: float) -> None:
         """Update the backoff of a target from the head of a response."""
-        if notice.backoff > 0:
-            self._extend(target, notice.backoff, now)
+        if signals.backoff > 0:
+            self._extend(target, signals.backoff, now)
             return
         backoff = self.backoffs.get(target)
-        if backoff is not None and not notice.failed:
+        if backoff is not None and not signals.failed:
             backoff.note_success(now)
             if backoff.finished():
                 del self.backoffs[target]
 
-    def active(self, target: str, now: float) -> bool:
+    def is_active(self, target: str, now: float) -> bool:
         """Return whether a target's backoff is in effect."""
         backoff = self.backoffs.get(target)
         return backoff is not None and now < backoff.until
