--- a/packages/entry/src/briarthread_entry/direct/__init__.py
+++ b/packages/entry/src/briarthread_entry/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Serving of requests by targets that have no agent before them."""
+"""Request handling of entries that send to targets directly, without an agent."""
--- a/packages/entry/src/briarthread_entry/direct/admission_rule.py
+++ b/packages/entry/src/briarthread_entry/direct/admission_rule.py
@@ -1,13 +1,14 @@
 """
-The rule by which a request to a lock-step group starts, waits or is refused.
+Rule that decides whether a request to a lock-step group starts, waits or is refused.
 
-It answers a load above what the group can do in time, with callers who come
-back once when they are refused. Room goes to new callers first: they can still
-be served in time, while one who comes back is late already; the other way round
-nearly every answer is late.
+It handles a load above the group's capacity, from callers that retry once after a
+refusal. New requests have precedence, since they can still be served in time, while
+a client retry is late already. With the opposite precedence nearly every response
+would be late.
 
-One who comes back has no other try, and is late in any case. So it waits for a
-group that is away, if that is expected back before the caller would leave.
+A client retry is the caller's last attempt and late in any case. It therefore waits
+for a group that is not serving if the group is expected to recover before the caller
+gives up.
 """
 
 import math
@@ -16,32 +17,33 @@
 from briarthread_common.core.error_kind import ErrorKind
 
 NEW_CALLER_RESERVE = 0.1
-"""Part of the room that callers who come back leave to new ones."""
+"""Fraction of the capacity that is reserved for new requests."""
 MIN_RETRY_AFTER_SECONDS = 0.3
-"""Seconds before which a refused caller finds nothing changed: some passes."""
+"""Minimum delay of a client retry, about a few passes: earlier nothing has changed."""
 HONOURED_FRACTION = 1 / 3
-"""Part of the time left within which callers come back as told."""
+"""Longest Retry-After that callers honour, as a fraction of their remaining time."""
 OUTAGE_RETRY_FRACTION = 0.85
-"""Part of the time that callers honour from which on they come back to a group
-that is away for longer; the rest spreads them."""
+"""Earliest client retry during an outage that outlasts the honoured Retry-After.
 
+It is a fraction of the longest honoured Retry-After; retries are spread over the rest.
+"""
 MIN_BACKOFF_JITTER = 0.1
-"""Minimum spread of returns after a backoff, as a fraction of the time to its end."""
+"""Minimum spread of client retries after a backoff, as a fraction of its remainder."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """The request may be sent now."""
+    """The request starts now."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForCapacity:
-    """There is no room yet, and still time to wait for it."""
+    """No capacity is free, and there is still time to wait for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request gets its final answer now; ``retry_after`` in seconds."""
+    """The request is refused now; ``retry_after`` is in seconds."""
 
     kind: ErrorKind
     reason: str
@@ -54,11 +56,12 @@
 @dataclass(frozen=True, slots=True)
 class GroupCapacity:
     """
-    State what a group has room for.
+    Describe the capacity of a group.
 
-    ``limit`` and ``running`` count requests over all entries. ``recovers_in`` is
-    in how many seconds a group that is not serving is expected back. ``opens_in`` is in
-    how many seconds the first rank accepts requests, 0.0 if one does already.
+    ``limit`` and ``running`` count the requests of all entries. ``recovers_in`` is
+    the expected number of seconds until a group that is not serving recovers.
+    ``opens_in`` is the number of seconds until the first rank accepts requests,
+    0.0 if one does already.
     """
 
     serving: bool
@@ -69,7 +72,7 @@
 
     @property
     def free(self) -> int:
-        """Return how many more requests there is room for."""
+        """Return how many more requests may run."""
         return max(self.limit - self.running, 0)
 
 
@@ -81,10 +84,11 @@
     jitter: float,
 ) -> Decision:
     """
-    Return what becomes of a request now.
+    Decide whether a request starts, waits or is refused now.
 
-    ``wait_left`` is how long it may still wait for room, ``time_left`` how
-    long its caller waits; ``jitter`` from 0 to 1 spreads the returns.
+    ``wait_left`` is how long it may still wait for capacity and ``time_left`` how
+    long its caller still waits, both in seconds. ``jitter``, from 0 to 1, spreads the
+    client retries.
 
     >>> decide_admission(GroupCapacity(True, 40, 60), False, 0.2, 8.0, 0.5)
     Start()
@@ -110,14 +114,14 @@
         return Start()
     if wait_left > 0:
         return WaitForCapacity()
-    reason = f"{capacity.running} running, room for {capacity.limit}"
+    reason = f"{capacity.running} requests running, limit {capacity.limit}"
     return Refuse(ErrorKind.OVERLOADED, reason, spread_retry_after(time_left, jitter))
 
 
 def _decide_in_backoff(
     opens_in: float, wait_left: float, time_left: float, jitter: float
 ) -> Decision:
-    """Return the decision on a request to a group whose ranks all back off."""
+    """Decide on a request to a group whose ranks are all in backoff."""
     if opens_in <= wait_left:
         return WaitForCapacity()
     pause = retry_after_backoff(time_left, opens_in, jitter)
@@ -125,7 +129,7 @@
 
 
 def spread_retry_after(time_left: float, jitter: float) -> float:
-    """Return when to come back, spread over all that callers honour."""
+    """Return a Retry-After in seconds, spread over the time that callers honour."""
     latest = max(time_left, 0.0) * HONOURED_FRACTION
     earliest = min(MIN_RETRY_AFTER_SECONDS, latest)
     return earliest + (latest - earliest) * jitter
@@ -133,7 +137,7 @@
 
 def retry_after_outage(time_left: float, recovers_in: float, jitter: float) -> float:
     """
-    Return when to come back to a group that is expected back in some time.
+    Return the Retry-After, in seconds, for a group that recovers in ``recovers_in`` s.
 
     >>> retry_after_outage(6.0, 0.5, 0.0), retry_after_outage(6.0, 4.0, 0.0)
     (0.5, 1.7)
@@ -145,10 +149,10 @@
 
 def retry_after_backoff(time_left: float, opens_in: float, jitter: float) -> float:
     """
-    Return when to come back to targets of which the first opens in ``opens_in`` s.
+    Return the Retry-After, in seconds, if the first target opens in ``opens_in`` s.
 
     The result is never below ``opens_in``, even if callers do not honour that long a
-    time, since an earlier return would be refused again.
+    time, since an earlier retry would be refused again.
 
     >>> retry_after_backoff(9.0, 1.0, 0.5), retry_after_backoff(6.0, 4.0, 0.0)
     (2.0, 4.0)
@@ -165,7 +169,7 @@
 
 def retry_after_refusal(kind: ErrorKind, time_left: float, jitter: float) -> float:
     """
-    Return when a caller is to come back after a refusal of some kind.
+    Return the Retry-After, in seconds, of a refusal of some kind.
 
     >>> retry_after_refusal(ErrorKind.GROUP_BROKEN, 6.0, 1.0)
     2.0
--- a/packages/entry/src/briarthread_entry/direct/group_admission.py
+++ b/packages/entry/src/briarthread_entry/direct/group_admission.py
@@ -1,4 +1,4 @@
-"""The way into the groups of a service's ranks."""
+"""Admission of requests to the groups of a service."""
 
 import random
 from dataclasses import replace
@@ -26,23 +26,24 @@
 from briarthread_entry.direct.waiting_place import WaitingPlace
 
 POLL_INTERVAL_SECONDS = 0.02
-"""How often a waiting request looks for room: a part of a pass."""
+"""Interval at which a waiting request checks for capacity, a fraction of a pass."""
 MAX_WAIT_SECONDS = 0.2
-"""Longest wait for room, s. A wait costs the caller its aim; more than this
-and the first event would come late even if room were found."""
+"""Longest wait for capacity: after a longer wait the first event would miss the route's
+aim even if capacity became free."""
 MAX_CLIENT_RETRY_WAIT_SECONDS = 1.8
-"""Longest wait of a caller who came back, s. It is late already, so that only
-its patience counts: callers leave a stream after two seconds without an event."""
+"""Longest wait of a client retry. It is late already, so that only the caller's timeout
+limits it: callers abandon a stream after two seconds without an event."""
 PASSES_TO_FIRST_EVENT = 2.0
-"""Passes from the start to the first event: the one under way, and its own."""
+"""Passes from the start to the first event: the current one and the request's own."""
 
 
 class GroupAdmission:
     """
     Admit requests to the groups that the ranks of a service form.
 
-    Room is counted over all entries and all groups that serve. Those who wait are
-    let in by rank: new callers first, then by priority, then by arrival.
+    Capacity is counted over all entries and all serving groups. Waiting requests are
+    admitted in order: new requests before client retries, then by priority, then by
+    time of arrival.
     """
 
     def __init__(self, capacity: GroupCapacityTracker, rng: random.Random) -> None:
@@ -52,9 +53,9 @@
         self.queue: list[WaitingPlace] = []
 
     def report(self) -> RunningReport:
-        """Return what the other entries are told."""
+        """Return the running report of this entry for the other entries."""
         now = anyio.current_time()
-        each = {
+        request_costs = {
             str(group): round(seconds, 6)
             for group, meter in self.capacity.meters.items()
             if (seconds := meter.request_cost(now)) is not None
@@ -65,11 +66,15 @@
                 for name, state in self.capacity.book.states.items()
                 if state.running
             },
-            each,
+            request_costs,
         )
 
     async def admit(self, request: DirectRequest) -> set[GroupId]:
-        """Return to which groups the request may go now, or raise RequestError."""
+        """
+        Wait for capacity and return the groups that a request may go to.
+
+        Raise RequestError if the request is refused.
+        """
         is_client_retry = self.retry_detector.is_return(
             request.route.name, request.caller_timeout
         )
@@ -87,68 +92,68 @@
             self.queue.remove(place)
 
     async def _wait(self, request: DirectRequest, place: WaitingPlace) -> set[GroupId]:
-        patience = self._max_wait(request)
+        max_wait = self._max_wait(request)
         while True:
             now = anyio.current_time()
-            wait_left = self._wait_deadline(request, place, patience) - now
-            rooms = self.capacity.capacities(request, now)
-            match self._decide(request, place, rooms, wait_left, now):
+            wait_left = self._wait_deadline(request, place, max_wait) - now
+            capacities = self.capacity.capacities(request, now)
+            match self._decide(request, place, capacities, wait_left, now):
                 case Start():
-                    return self._allowed_groups(rooms)
+                    return self._allowed_groups(capacities)
                 case Refuse() as refusal:
                     raise RequestError(
                         refusal.kind, refusal.reason, retry_after=refusal.retry_after
                     )
             await anyio.sleep(POLL_INTERVAL_SECONDS)
 
-    def _allowed_groups(self, rooms: GroupCapacities) -> set[GroupId]:
+    def _allowed_groups(self, capacities: GroupCapacities) -> set[GroupId]:
         """
-        Return the groups that a request may go to that starts now.
+        Return the groups that a request that starts now may go to.
 
-        All with room are one pool, in which the choice of the rank spreads requests
-        by free slots. To choose a group first serves callers no better, and an entry
-        then opens more connections to ranks.
+        All groups with capacity form one pool, in which the choice of the rank spreads
+        requests by free slots. Choosing a group first does not serve callers better,
+        and an entry then opens more connections to ranks.
         """
-        return groups_with_capacity(rooms) or set(rooms)
+        return groups_with_capacity(capacities) or set(capacities)
 
     def _decide(
         self,
         request: DirectRequest,
         place: WaitingPlace,
-        rooms: GroupCapacities,
+        capacities: GroupCapacities,
         wait_left: float,
         now: float,
     ) -> Decision:
-        room = self._combined_capacity(rooms)
+        capacity = self._combined_capacity(capacities)
         ahead = sum(other.is_before(place) for other in self.queue)
-        room = replace(room, running=room.running + ahead)
-        left = request.caller_time_left(now)
+        capacity = replace(capacity, running=capacity.running + ahead)
+        time_left = request.caller_time_left(now)
         return decide_admission(
-            room, place.is_client_retry, wait_left, left, self.rng.random()
+            capacity, place.is_client_retry, wait_left, time_left, self.rng.random()
         )
 
-    def _combined_capacity(self, rooms: GroupCapacities) -> GroupCapacity:
-        return combined_capacity(rooms)
+    def _combined_capacity(self, capacities: GroupCapacities) -> GroupCapacity:
+        return combined_capacity(capacities)
 
     def _wait_deadline(
-        self, request: DirectRequest, place: WaitingPlace, patience: float
+        self, request: DirectRequest, place: WaitingPlace, max_wait: float
     ) -> float:
         """
-        Return until when a request may wait for room.
+        Return the time until which a request may wait for capacity.
 
-        One that came back may wait for a group that is away, and for room right
-        after its return.
+        A client retry may wait for a group that is not serving, and for capacity right
+        after the group's recovery.
         """
         if not place.is_client_retry:
-            return request.arrived + patience
+            return request.arrived + max_wait
         if self.capacity.all_broken(place.service):
             return request.arrived + MAX_CLIENT_RETRY_WAIT_SECONDS
-        back_at = self.capacity.last_recovery(place.service)
-        return max(request.arrived + patience, back_at + MAX_WAIT_SECONDS)
+        recovered_at = self.capacity.last_recovery(place.service)
+        return max(request.arrived + max_wait, recovered_at + MAX_WAIT_SECONDS)
 
     def _max_wait(self, request: DirectRequest) -> float:
-        """Return how long the request may wait and still meet its aim."""
+        """Return the seconds that a request may wait and still meet the route's aim."""
         now = anyio.current_time()
-        seen = self.capacity.shortest_pass(request.service, now) or 0.0
-        answer = PASSES_TO_FIRST_EVENT * seen
-        return min(max(request.route.aim - answer, 0.0), MAX_WAIT_SECONDS)
+        pass_seconds = self.capacity.shortest_pass(request.service, now) or 0.0
+        first_event_seconds = PASSES_TO_FIRST_EVENT * pass_seconds
+        return min(max(request.route.aim - first_event_seconds, 0.0), MAX_WAIT_SECONDS)
--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -1,9 +1,9 @@
 """
-What the groups of a service have room for, as an entry knows it.
+Capacity and health of the groups of a service, as known to an entry.
 
-Each group is a thing of its own: what runs there, how long its passes are and
-whether it serves are known and decided for each, so that one that is away or slow
-leaves the others as they are.
+Each group is tracked on its own: its running requests, its pass durations and
+whether it serves. A group that is slow or not serving therefore does not affect the
+others.
 """
 
 import math
@@ -32,17 +32,20 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 RECENT_EVENT_SECONDS = 0.4
-"""Age of the last event of a stream up to which the group serves, whatever an
-agent says; its own rank may be leaving the group."""
+"""Age of the last stream event up to which a group counts as serving whatever an agent
+reports: the agent's own rank may be leaving the group."""
 RUNNING_COUNT_SECONDS = 0.01
-"""How long a count of what runs in a group holds for the events of its streams:
-they come together, one of each stream a pass, and each would be counted for."""
+"""Lifetime of a group's cached count of running requests.
+
+The events of its streams arrive together, one of each stream per pass, and each one
+would need a new count.
+"""
 
 GroupCapacities = dict[GroupId, GroupCapacity]
 
 
 class GroupCapacityTracker:
-    """Keep the passes and the health of each group, and tell its room."""
+    """Track the passes and the health of each group and compute its capacity."""
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
         self.running_counts: dict[GroupId, tuple[float, int]] = {}
 
     def meter(self, service: DirectService, group: GroupId) -> PassMeter:
-        """Return the meter of a group's passes."""
+        """Return the pass meter of a group, created on first use."""
         meter = self.meters.get(group)
         if meter is None:
             meter = self.meters[group] = self._new_meter(service, group)
@@ -75,31 +78,33 @@
         if engine is None:
             return PassMeter(0.0, 0.0)
         ranks = len(self._ranks(group, anyio.current_time()))
-        usual = initial_request_cost(engine, max(ranks, 1))
-        return PassMeter(engine.stride * engine.step_seconds, usual)
+        initial_cost = initial_request_cost(engine, max(ranks, 1))
+        return PassMeter(engine.stride * engine.step_seconds, initial_cost)
 
     def health(self, group: GroupId) -> GroupHealth:
-        """Return the health of a group."""
+        """Return the health of a group, created on first use."""
         return self.healths.setdefault(group, GroupHealth())
 
     def capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
         """
-        Return the groups that a request may go to, each with its room.
+        Return the groups that a request may go to, each with its capacity.
 
-        A group that is away gets a request now and then to see whether it is back;
-        that request may go nowhere else.
+        A group that is not serving occasionally gets a request as a probe. That
+        request may go to no other group.
         """
-        found = self._all_capacities(request, now)
-        elsewhere = any(room.free > 0 for room in found.values() if room.serving)
-        for group, room in found.items():
-            if room.serving or room.opens_in > 0:
+        capacities = self._all_capacities(request, now)
+        has_alternative = any(
+            capacity.free > 0 for capacity in capacities.values() if capacity.serving
+        )
+        for group, capacity in capacities.items():
+            if capacity.serving or capacity.opens_in > 0:
                 continue
-            if self.health(group).may_send(now, elsewhere):
-                return {group: replace(room, serving=True)}
-        return found
+            if self.health(group).may_send(now, has_alternative):
+                return {group: replace(capacity, serving=True)}
+        return capacities
 
     def open_groups(self, request: DirectRequest, now: float) -> set[GroupId]:
-        """Return the groups that serve and have room, probing none."""
+        """Return the serving groups with free capacity without probing any."""
         return groups_with_capacity(self._all_capacities(request, now))
 
     def _all_capacities(self, request: DirectRequest, now: float) -> GroupCapacities:
@@ -118,20 +123,22 @@
         now: float,
     ) -> GroupCapacity:
         service = request.service
-        each = self.meter(service, group).request_cost(now)
-        if each is None:
-            each = self.peer_reports.request_cost(str(group), now)
-        most = max_concurrency(len(states), service.engine, request.route.gap_aim, each)
+        request_cost = self.meter(service, group).request_cost(now)
+        if request_cost is None:
+            request_cost = self.peer_reports.request_cost(str(group), now)
+        limit = max_concurrency(
+            len(states), service.engine, request.route.gap_aim, request_cost
+        )
         return GroupCapacity(
             serving=self._serves(service, group, now),
             running=self._running(states, now),
-            limit=min(most, sum(self._rank_limit(state, now) for state in states)),
+            limit=min(limit, sum(self._rank_limit(state, now) for state in states)),
             recovers_in=self.health(group).seconds_to_recovery(now),
             opens_in=self._opens_in(states, now),
         )
 
     def _opens_in(self, states: Sequence[DirectTargetState], now: float) -> float:
-        """Return in how many seconds the first rank accepts requests, 0.0 for now."""
+        """Return the seconds until the first rank accepts requests, 0.0 for now."""
         opens = (self.backoffs.opens_at(state.target.name, now) for state in states)
         return max(min(opens, default=now) - now, 0.0)
 
@@ -139,33 +146,36 @@
         """
         Return how many requests a rank may run at once.
 
-        One that names a limit runs what comes within it in the time of an answer. One
-        in backoff gets nothing beyond what it runs, one in slow start a few more.
+        A rank with a rate limit runs the requests that the limit admits during one
+        response time. A rank in backoff gets no additional requests, a rank in slow
+        start only a few.
         """
         slots = state.target.slots
         limit = self.limits.of(state.target.name)
         if limit is not None and state.seconds.samples:
             slots = min(math.ceil(limit * state.seconds.value), slots)
-        free = self.backoffs.free_attempts(state.target.name, now)
-        if free is None:
+        free_attempts = self.backoffs.free_attempts(state.target.name, now)
+        if free_attempts is None:
             return slots
-        return min(self._running([state], now) + free, slots)
+        return min(self._running([state], now) + free_attempts, slots)
 
     def _serves(self, service: DirectService, group: GroupId, now: float) -> bool:
         """
-        Tell whether a group serves, by all that is known.
+        Return whether a group serves, from all available information.
 
-        An agent's word may be wrong: its own rank may be leaving the group. So
-        it never keeps the probes of a group away that is taken to be broken.
+        An agent's report may be wrong, since its own rank may be leaving the group. It
+        therefore never delays the probes of a group that is recorded as broken.
         """
         health = self.health(group)
-        said = self.slow_ranks.groups.is_serving(group, now)
-        flowing = now - self.meter(service, group).last_event <= RECENT_EVENT_SECONDS
-        if said is False and not flowing and not health.broken:
+        reported = self.slow_ranks.groups.is_serving(group, now)
+        has_recent_event = (
+            now - self.meter(service, group).last_event <= RECENT_EVENT_SECONDS
+        )
+        if reported is False and not has_recent_event and not health.broken:
             health.note_broken(now)
-            logger.warning("group: {} is not serving, says an agent", group)
-        if said is True and health.note_reported_serving(now):
-            logger.info("group: {} serves again, says an agent", group)
+            logger.warning("group: {} is not serving, as reported by an agent", group)
+        if reported is True and health.note_reported_serving(now):
+            logger.info("group: {} serves again, as reported by an agent", group)
         return not health.broken
 
     def _ranks(self, group: GroupId, now: float) -> list[DirectTargetState]:
@@ -176,27 +186,27 @@
         ]
 
     def _running(self, states: Sequence[DirectTargetState], now: float) -> int:
-        names = (state.target.name for state in states)
-        elsewhere = self.peer_reports.total_running_elsewhere(names, now)
+        target_names = (state.target.name for state in states)
+        elsewhere = self.peer_reports.total_running_elsewhere(target_names, now)
         return elsewhere + sum(state.running for state in states)
 
     def _cached_running(self, group: GroupId, now: float) -> int:
-        """Return what runs in a group, counted anew now and then."""
-        counted = self.running_counts.get(group)
-        if counted is None or now - counted[0] > RUNNING_COUNT_SECONDS:
+        """Return the running requests of a group, from a briefly cached count."""
+        cached = self.running_counts.get(group)
+        if cached is None or now - cached[0] > RUNNING_COUNT_SECONDS:
             running = self._running(self._ranks(group, now), now)
-            counted = self.running_counts[group] = (now, running)
-        return counted[1]
+            cached = self.running_counts[group] = (now, running)
+        return cached[1]
 
     def all_broken(self, service: str) -> bool:
-        """Tell whether no group of a service is known to serve."""
+        """Return whether groups of a service are known and all of them are broken."""
         of_service = [
             health for group, health in self.healths.items() if group.service == service
         ]
         return bool(of_service) and all(health.broken for health in of_service)
 
     def last_recovery(self, service: str) -> float:
-        """Return when a group of a service was last seen to be back."""
+        """Return the time at which a group of a service last recovered."""
         return max(
             (
                 health.recovered_at
@@ -207,24 +217,28 @@
         )
 
     def shortest_pass(self, service: DirectService, now: float) -> float | None:
-        """Return the mean pass of the fastest group that streams show."""
-        seen = [
+        """Return the mean pass, in seconds, of the service's fastest observed group."""
+        pass_seconds = [
             seconds
             for group, meter in self.meters.items()
             if group.service == service.name
             and (seconds := meter.mean_seconds(now)) is not None
         ]
-        return min(seen, default=None)
+        return min(pass_seconds, default=None)
 
     def note_refused(self, group: GroupId, faulty: str) -> None:
-        """Record that a rank refused for its group."""
+        """Record that a rank refused a request because its group is broken."""
         if self.health(group).note_broken(anyio.current_time()):
             logger.warning("group: {} is not serving: {}", group, faulty)
 
     def note_event(
         self, service: DirectService, group: GroupId, previous: float | None
     ) -> None:
-        """Record an event of one of this entry's streams in a group."""
+        """
+        Record an event of one of this entry's streams in a group.
+
+        ``previous`` is the time of the previous event of the same attempt.
+        """
         now = anyio.current_time()
         self.meter(service, group).note_event(
             previous, now, self._cached_running(group, now)
@@ -233,33 +247,37 @@
             logger.info("group: {} serves again", group)
 
 
-def groups_with_capacity(rooms: Mapping[GroupId, GroupCapacity]) -> set[GroupId]:
-    """Return the groups that serve and have room."""
-    return {group for group, room in rooms.items() if room.serving and room.free > 0}
+def groups_with_capacity(capacities: Mapping[GroupId, GroupCapacity]) -> set[GroupId]:
+    """Return the serving groups with free capacity."""
+    return {
+        group
+        for group, capacity in capacities.items()
+        if capacity.serving and capacity.free > 0
+    }
 
 
-def combined_capacity(rooms: Mapping[GroupId, GroupCapacity]) -> GroupCapacity:
+def combined_capacity(capacities: Mapping[GroupId, GroupCapacity]) -> GroupCapacity:
     """
-    Return the room of all groups that serve, or of all where none does.
+    Return the combined capacity of the serving groups, or of all if none serves.
 
-    What runs in a group beyond its limit takes no room from the others.
+    Requests beyond the limit of one group do not reduce the capacity of the others.
 
-    >>> rooms = {
+    >>> capacities = {
     ...     GroupId("m", "a"): GroupCapacity(True, 12, 10),
     ...     GroupId("m", "b"): GroupCapacity(True, 4, 10),
     ...     GroupId("m", "c"): GroupCapacity(False, 0, 10, recovers_in=2.0),
     ... }
-    >>> combined_capacity(rooms)
+    >>> combined_capacity(capacities)
     GroupCapacity(serving=True, running=14, limit=20, recovers_in=0.0, opens_in=0.0)
     """
-    serving = [room for room in rooms.values() if room.serving]
-    counted = serving or list(rooms.values())
-    recovers_in = min((room.recovers_in for room in counted), default=0.0)
-    opens_in = min((room.opens_in for room in counted), default=0.0)
+    serving = [capacity for capacity in capacities.values() if capacity.serving]
+    included = serving or list(capacities.values())
+    recovers_in = min((capacity.recovers_in for capacity in included), default=0.0)
+    opens_in = min((capacity.opens_in for capacity in included), default=0.0)
     return GroupCapacity(
         serving=bool(serving),
-        running=sum(min(room.running, room.limit) for room in counted),
-        limit=sum(room.limit for room in counted),
+        running=sum(min(capacity.running, capacity.limit) for capacity in included),
+        limit=sum(capacity.limit for capacity in included),
         recovers_in=0.0 if serving else recovers_in,
         opens_in=opens_in,
     )
--- a/packages/entry/src/briarthread_entry/direct/group_concurrency.py
+++ b/packages/entry/src/briarthread_entry/direct/group_concurrency.py
@@ -1,38 +1,41 @@
 """
-How many requests a lock-step group may run at once.
-
-It answers a lasting load above what the group can do in time. The more
-requests run, the longer each pass takes, and past the routes' longest pause
-every stream of the group is late at once. So the number is held where the
-predicted pass stays under that pause with a margin. The pass is predicted as a
-fixed part, known from the engine's figures, and a part in proportion to what
-runs, learned from the passes seen; skew of the experts and slow ranks are in
-what was seen.
+Concurrency limit of a lock-step group.
+
+It handles a lasting load above the group's capacity. The more requests run, the
+longer each pass takes, and once passes exceed the longest pause that a route allows,
+every stream of the group is late at the same time. The limit keeps the predicted
+pass below that pause with a margin. The predicted pass consists of a fixed part,
+known from the engine's figures, and a part proportional to the running requests,
+learned from observed passes. The observations include the effects of expert skew and
+slow ranks.
 """
 
 from briarthread_common.direct.engine_figures import EngineFigures
 
 MIN_REQUEST_COST_SECONDS = 1e-6
+"""Lower bound of the request cost, which avoids a division by zero."""
 MAX_PASS_FRACTION = 0.8
-"""Part of the longest pause that a predicted pass may take. Single passes are
-longer than the mean by the prompts read in them; one such pass is enough to
-make a stream late."""
+"""Fraction of the longest pause that a predicted pass may take.
+
+Single passes are longer than the mean by the prompts read in them, and one such pass
+is enough to make a stream late.
+"""
 INITIAL_SKEW = 2.0
-"""How much more than its even part the busiest rank is taken to do before
-anything was seen: experts placed by demand leave 1.2, in turn some 3."""
+"""Assumed load of the busiest rank, relative to an even share, before any observation:
+it is 1.2 with experts placed by demand and about 3 with experts placed in turn."""
 MIN_SLOTS_FRACTION = 0.4
-"""Part of the slots that is always given out, whatever was seen: a group in
-trouble must show by running work that it is over."""
+"""Fraction of the slots that is always available: a group in trouble has to run
+requests for its recovery to be observed."""
 
 
 def max_concurrency(
-    ranks: int, engine: EngineFigures, longest_pause: float, each: float | None
+    ranks: int, engine: EngineFigures, longest_pause: float, request_cost: float | None
 ) -> int:
     """
     Return how many requests a group may run at once.
 
-    ``each`` is what a running request adds to a pass in seconds, ``None``
-    where nothing was seen.
+    ``request_cost`` is the number of seconds that a running request adds to a pass,
+    ``None`` if nothing was observed.
 
     >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> max_concurrency(12, engine, 0.12, 0.0015)
@@ -41,18 +44,18 @@
     72
     """
     slots = ranks * engine.slots
-    if each is None or longest_pause <= 0:
+    if request_cost is None or longest_pause <= 0:
         return slots
-    fixed = engine.stride * engine.step_seconds
-    fitting = (longest_pause * MAX_PASS_FRACTION - fixed) / max(
-        each, MIN_REQUEST_COST_SECONDS
+    fixed_seconds = engine.stride * engine.step_seconds
+    fitting_requests = (longest_pause * MAX_PASS_FRACTION - fixed_seconds) / max(
+        request_cost, MIN_REQUEST_COST_SECONDS
     )
-    return int(min(max(fitting, slots * MIN_SLOTS_FRACTION), slots))
+    return int(min(max(fitting_requests, slots * MIN_SLOTS_FRACTION), slots))
 
 
 def initial_request_cost(engine: EngineFigures, ranks: int) -> float:
     """
-    Return what a running request adds to a pass, in seconds, as a first guess.
+    Return an initial estimate of the seconds that a running request adds to a pass.
 
     >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> round(initial_request_cost(engine, 10), 5)
--- a/packages/entry/src/briarthread_entry/direct/group_health.py
+++ b/packages/entry/src/briarthread_entry/direct/group_health.py
@@ -1,32 +1,34 @@
-"""Whether a lock-step group serves at all."""
+"""Health of a lock-step group: whether it serves requests."""
 
 from dataclasses import dataclass
 
 PROBE_INTERVAL_SECONDS = 0.3
-"""Pause between two requests sent to a group that is not serving, to see
-whether it does again. A group forms anew within some hundred milliseconds."""
+"""Pause between two probe requests to a group that is not serving; a group is formed
+again within some hundred milliseconds."""
 TYPICAL_OUTAGE_SECONDS = 5.0
-"""Typical duration of a group outage, in seconds, such as when a data centre is cut
-off or a rank is down; the remaining downtime is estimated from it."""
+"""Typical duration of a group outage, for example while a data centre is cut off or a
+rank is down. The remaining downtime is estimated from it."""
 MIN_RECOVERY_SECONDS = 0.3
-"""Least time, s, after which a group that is away is expected back."""
+"""Lower bound of the estimated time until a group recovers."""
 RELAXED_PROBE_INTERVAL_SECONDS = 3.0
-"""The same while another group of the service has room: a request that meets a
-broken group then takes a repeat out of the retry budget, and 40 entries that
-probe three times a second would use it up within some seconds."""
+"""Pause between two probe requests while another group of the service has capacity.
+
+A probe of a broken group then costs a retry from the retry budget, and 40 entries that
+probe three times a second would exhaust the budget within some seconds.
+"""
 REPORT_DELAY_SECONDS = 0.6
-"""Time after the last refusal before an agent's word that the group serves
-counts: the word may be half a second old."""
+"""Time after the last refusal during which an agent's report that the group serves is
+ignored: the report may be half a second old."""
 
 
 @dataclass(slots=True)
 class GroupHealth:
     """
-    Record whether the group was last seen broken; times are the runtime's.
+    Record whether a group was last observed as broken; times are the runtime's.
 
     ``broken_since`` is when it broke and ``recovered_at`` when it served again. A
-    broken group fails whatever is sent to any of its ranks. So one request at a time
-    finds out, and all others are refused at once.
+    broken group fails every request to any of its ranks, so one request at a time
+    probes it and all others are refused at once.
 
     >>> health = GroupHealth()
     >>> health.note_broken(now=1.0)
@@ -46,17 +48,17 @@
     recovered_at: float = float("-inf")
 
     def note_broken(self, now: float) -> bool:
-        """Record that the group was seen broken; tell if that is new."""
-        new = not self.broken
-        if new:
+        """Record that the group is broken; return whether that is a change."""
+        is_new = not self.broken
+        if is_new:
             self.broken_since = now
         self.broken = True
         self.refused_at = now
         self.next_probe = now + PROBE_INTERVAL_SECONDS
-        return new
+        return is_new
 
     def note_serving(self, now: float) -> bool:
-        """Record that the group serves; tell if that is new."""
+        """Record that the group serves; return whether that is a change."""
         if not self.broken:
             return False
         self.broken = False
@@ -64,13 +66,13 @@
         return True
 
     def note_reported_serving(self, now: float) -> bool:
-        """Record an agent's word that it serves; tell if that is news."""
+        """Record an agent's report that it serves; return whether that is a change."""
         if now - self.refused_at < REPORT_DELAY_SECONDS:
             return False
         return self.note_serving(now)
 
     def seconds_to_recovery(self, now: float) -> float:
-        """Return in how many seconds the group is expected to serve again."""
+        """Return the estimated number of seconds until the group serves again."""
         if not self.broken:
             return 0.0
         return max(
@@ -79,18 +81,19 @@
 
     def may_send(self, now: float, has_alternative: bool = False) -> bool:
         """
-        Tell whether a request may go to the group; a probe is taken by it.
+        Return whether a request may go to the group, as a probe if it is broken.
 
-        ``has_alternative`` tells that there is room in another group.
+        A call that allows a probe delays the next one. ``has_alternative`` is true
+        if another group has capacity.
         """
         if not self.broken:
             return True
-        spared = (
+        extra_pause = (
             RELAXED_PROBE_INTERVAL_SECONDS - PROBE_INTERVAL_SECONDS
             if has_alternative
             else 0.0
         )
-        if now < self.next_probe + spared:
+        if now < self.next_probe + extra_pause:
             return False
         self.next_probe = now + PROBE_INTERVAL_SECONDS
         return True
--- a/packages/entry/src/briarthread_entry/direct/group_membership.py
+++ b/packages/entry/src/briarthread_entry/direct/group_membership.py
@@ -1,4 +1,4 @@
-"""Which lock-step group each rank of a service is in."""
+"""Membership of ranks in the lock-step groups of a service."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,10 @@
 
 class GroupMembership:
     """
-    Tell the group of a rank, as the agent on its instance lists it.
+    Look up the group of a rank, as listed by the agent on its instance.
 
-    Ranks of which no agent says a group are taken for members of the service's
-    only group, or where it has several or none, for a group without a name.
+    Ranks without a listed group count as members of the service's only group. If the
+    service has several groups or none, they belong to a group without a name.
     """
 
     def __init__(self, directory: Directory) -> None:
@@ -33,24 +33,24 @@
     def by_group(
         self, states: Iterable[DirectTargetState]
     ) -> dict[GroupId, list[DirectTargetState]]:
-        """Return ranks by their groups."""
+        """Return the states of ranks by their group."""
         found: dict[GroupId, list[DirectTargetState]] = {}
         for state in states:
             found.setdefault(self.group_of(state.target), []).append(state)
         return found
 
     def known_groups(self) -> set[GroupId]:
-        """Return the groups that agents belong to."""
+        """Return the groups that agents are listed in."""
         self._refresh()
         return {
             group
-            for service, named in self.named_groups.items()
-            for group in named or {GroupId(service)}
+            for service, named_groups in self.named_groups.items()
+            for group in named_groups or {GroupId(service)}
         }
 
     def _default(self, service: str) -> GroupId:
-        named = self.named_groups.get(service, set())
-        return next(iter(named)) if len(named) == 1 else GroupId(service)
+        named_groups = self.named_groups.get(service, set())
+        return next(iter(named_groups)) if len(named_groups) == 1 else GroupId(service)
 
     def _refresh(self) -> None:
         if self.feed_number == self.directory.feed.number:
@@ -58,8 +58,8 @@
         self.feed_number = self.directory.feed.number
         self.group_by_host, self.named_groups = {}, {}
         for row in self.directory.of_role(InstanceRole.TARGET).values():
-            named = self.named_groups.setdefault(row.service, set())
+            named_groups = self.named_groups.setdefault(row.service, set())
             if row.group:
                 group = GroupId(row.service, row.group)
-                named.add(group)
+                named_groups.add(group)
                 self.group_by_host[row.service, host_of(row.address)] = group
--- a/packages/entry/src/briarthread_entry/direct/group_reports.py
+++ b/packages/entry/src/briarthread_entry/direct/group_reports.py
@@ -1,4 +1,4 @@
-"""What agents say of the groups that an entry sends to."""
+"""Newest agent report on each group that an entry sends to."""
 
 from dataclasses import dataclass
 
@@ -13,18 +13,18 @@
 @dataclass(frozen=True, slots=True)
 class _ReceivedReport:
     report: GroupReport
-    at: float
+    received_at: float
 
 
 class GroupReports:
     """
-    Hold the newest report on each group; times are the runtime's.
+    Store the newest report on each group; times are the runtime's.
 
-    >>> board, group = GroupReports(), GroupId("model", "g-1")
-    >>> board.put(group, GroupReport(slow={"10.2.0.1": 4.0}), now=10.0)
-    >>> board.slowdown(group, "10.2.0.1:80", now=11.0)
+    >>> reports, group = GroupReports(), GroupId("model", "g-1")
+    >>> reports.put(group, GroupReport(slow={"10.2.0.1": 4.0}), now=10.0)
+    >>> reports.slowdown(group, "10.2.0.1:80", now=11.0)
     4.0
-    >>> board.slowdown(group, "10.2.0.1:80", now=12.0)
+    >>> reports.slowdown(group, "10.2.0.1:80", now=12.0)
     1.0
     """
 
@@ -33,34 +33,34 @@
         self.changed = anyio.Event()
 
     def put(self, group: GroupId, report: GroupReport, now: float) -> None:
-        """Take over a report."""
-        before = self.received.get(group)
+        """Store a report and wake the waiting tasks if it differs from the last one."""
+        previous = self.received.get(group)
         self.received[group] = _ReceivedReport(report, now)
-        if before is None or before.report != report:
+        if previous is None or previous.report != report:
             changed, self.changed = self.changed, anyio.Event()
             changed.set()
 
     async def wait_change(self) -> None:
-        """Return when some group's report has changed."""
+        """Wait until the report of some group changes."""
         await self.changed.wait()
 
     def slowdown(self, group: GroupId, address: str, now: float) -> float:
-        """Return how many times longer than usual a rank takes for its work."""
-        report = self._fresh(group, now)
+        """Return the factor by which a rank is slower than usual."""
+        report = self._current(group, now)
         return 1.0 if report is None else report.slow.get(host_of(address), 1.0)
 
     def has_slow_rank(self, group: GroupId, now: float) -> bool:
-        """Tell whether some rank of a group takes longer than usual."""
-        report = self._fresh(group, now)
+        """Return whether some rank of a group is slower than usual."""
+        report = self._current(group, now)
         return report is not None and bool(report.slow)
 
     def is_serving(self, group: GroupId, now: float) -> bool | None:
-        """Tell whether a group serves, ``None`` where no agent says so."""
-        report = self._fresh(group, now)
+        """Return whether a group serves, ``None`` without a current report."""
+        report = self._current(group, now)
         return None if report is None else report.serving
 
-    def _fresh(self, group: GroupId, now: float) -> GroupReport | None:
+    def _current(self, group: GroupId, now: float) -> GroupReport | None:
         received = self.received.get(group)
-        if received is None or now - received.at > SILENCE_SECONDS:
+        if received is None or now - received.received_at > SILENCE_SECONDS:
             return None
         return received.report
--- a/packages/entry/src/briarthread_entry/direct/group_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/group_watcher.py
@@ -1,4 +1,4 @@
-"""The tasks that follow what agents say of their groups."""
+"""Tasks that read the agents' reports on their groups."""
 
 import random
 
@@ -16,18 +16,18 @@
 from briarthread_entry.direct.group_membership import GroupMembership
 from briarthread_entry.direct.group_reports import GroupReports
 
-REFRESH_SECONDS = 1.0
-"""How often the list of agents is looked at for new groups."""
-RETRY_SECONDS = 0.4
-"""Mean pause before another agent is asked in the place of a lost one."""
+REFRESH_INTERVAL_SECONDS = 1.0
+"""Interval at which the list of agents is checked for new groups."""
+RETRY_PAUSE_SECONDS = 0.4
+"""Mean pause before another agent is asked after a stream of reports has ended."""
 
 
 class GroupWatcher:
     """
-    Hold one stream of reports on each group that has agents.
+    Keep one stream of reports open for each group that has agents.
 
-    Any agent of it knows what its group's planner told it, so one is enough; one of
-    the own data centre is taken where there is any.
+    Every agent of a group knows what the group's planner sent, so one is enough. An
+    agent in the entry's own data centre is preferred.
     """
 
     def __init__(
@@ -45,46 +45,46 @@
         self.group_reports = group_reports
         self.channel = channel
         self.rng = rng
-        self.watched: set[GroupId] = set()
+        self.watched_groups: set[GroupId] = set()
 
     async def run(self) -> None:
-        """Follow the groups of all listed agents until cancelled."""
+        """Watch the groups of all listed agents until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 self._refresh(tasks)
-                await anyio.sleep(REFRESH_SECONDS)
+                await anyio.sleep(REFRESH_INTERVAL_SECONDS)
 
     def _refresh(self, tasks: TaskGroup) -> None:
-        for group in sorted(self.membership.known_groups() - self.watched):
-            self.watched.add(group)
-            tasks.start_soon(self._keep_following, group)
+        for group in sorted(self.membership.known_groups() - self.watched_groups):
+            self.watched_groups.add(group)
+            tasks.start_soon(self._watch, group)
 
-    async def _keep_following(self, group: GroupId) -> None:
+    async def _watch(self, group: GroupId) -> None:
         while group in self.membership.known_groups():
-            agent = self._choose(group)
+            agent = self._choose_agent(group)
             if agent is not None:
                 try:
-                    await self._follow(group, agent)
+                    await self._read_reports(group, agent)
                 except ChannelError as error:
-                    logger.debug("group: {} lost: {}", agent.name, error)
-            await anyio.sleep(RETRY_SECONDS * self.rng.uniform(0.5, 1.5))
-        logger.info("group: {} has no agents any more", group)
-        self.watched.discard(group)
+                    logger.debug("group: reports of {} ended: {}", agent.name, error)
+            await anyio.sleep(RETRY_PAUSE_SECONDS * self.rng.uniform(0.5, 1.5))
+        logger.info("group: {} has no listed agents", group)
+        self.watched_groups.discard(group)
 
-    def _choose(self, group: GroupId) -> Instance | None:
+    def _choose_agent(self, group: GroupId) -> Instance | None:
         rows = [
             row
             for row in self.directory.of_role(InstanceRole.TARGET).values()
             if row.service == group.service and group.name in ("", row.group)
         ]
-        near = [row for row in rows if row.data_centre == self.data_centre]
-        return self.rng.choice(near or rows or [None])
+        local_rows = [row for row in rows if row.data_centre == self.data_centre]
+        return self.rng.choice(local_rows or rows or [None])
 
-    async def _follow(self, group: GroupId, agent: Instance) -> None:
-        """Take over an agent's reports as long as its rank is in the group."""
+    async def _read_reports(self, group: GroupId, agent: Instance) -> None:
+        """Store the reports of an agent as long as its rank is in the group."""
         reports = follow_reports(self.channel, agent.address, GROUP_PATH, GroupReport)
         async for report in reports:
             if group.name and report.group not in ("", group.name):
-                logger.info("group: {} is in {} now", agent.name, report.group)
+                logger.info("group: {} has moved to {}", agent.name, report.group)
                 return
             self.group_reports.put(group, report, anyio.current_time())
--- a/packages/entry/src/briarthread_entry/direct/pass_meter.py
+++ b/packages/entry/src/briarthread_entry/direct/pass_meter.py
@@ -1,37 +1,40 @@
 """
-The length of a group's pass, as an entry's own streams show it.
+Duration of a group's pass, measured on an entry's own streams.
 
-All ranks of a group make their passes together and each running stream gets
-one event a pass. So the pauses between events are the pass, and every entry
-with a stream knows it without asking anyone.
+All ranks of a group make their passes together, and each running stream receives one
+event per pass. The pause between two events is therefore the duration of a pass, and
+every entry with a stream can measure it without communication.
 """
 
 from briarthread_common.utils.decaying_mean import DecayingMean
 
 PAUSE_WEIGHT = 0.05
-"""Weight of one pause: an entry with eight streams sees a hundred a second, so
-that the mean follows the load within a few tenths of a second."""
-SHARE_WEIGHT = 0.01
-"""Weight of one pause in what each running request adds to a pass. That changes
-with the experts' skew, over seconds, and not with the load; a steadier mean
-keeps the limit from swinging with the load that it bounds."""
-MOST_TIMES = 3.0
-"""How many times the mean one pause may count at most in what each request
-adds: single passes with many prompts say little about the next ones."""
+"""Weight of one pause in the mean pass: an entry with eight streams observes a hundred
+pauses a second, so that the mean follows the load within a few tenths of a second."""
+COST_WEIGHT = 0.01
+"""Weight of one pause in the mean request cost.
+
+The cost changes with the skew of the experts, over seconds, and not with the load. A
+slower mean keeps the concurrency limit from oscillating with the load that it bounds.
+"""
+MAX_COST_RATIO = 3.0
+"""Largest request cost taken from one pause, relative to the mean: single passes with
+many prompts say little about the next ones."""
 STALE_SECONDS = 2.0
-"""Age past which the mean says nothing about the group any more."""
-FEW = 8
-"""Running requests under which a pause says little about a full group."""
+"""Age of the last event from which on the means are no longer valid."""
+MIN_RUNNING_REQUESTS = 8
+"""Running requests below which a pause says little about a full group."""
 
 
 class PassMeter:
     """
-    Keep the mean pause between events, and what each running request adds.
+    Track the mean pause between events and the mean cost of a running request.
 
-    ``fixed_seconds`` is the part of a pass, in seconds, that does not depend on load;
-    ``initial_cost`` is what a running request adds before anything was seen. Without
-    it the first pause would count for all: after a restart that is one with
-    many prompts read at once, and what runs elsewhere is not known yet.
+    The cost is the number of seconds that a running request adds to a pass.
+    ``fixed_seconds`` is the part of a pass that does not depend on the load.
+    ``initial_cost`` is the cost before any observation. Without it the first pause
+    alone would determine the mean, and after a restart that pause contains many
+    prompts read at once while the requests of other entries are not known yet.
 
     >>> meter = PassMeter(fixed_seconds=0.02, initial_cost=0.002)
     >>> meter.note_event(None, now=1.0, running=20)
@@ -43,28 +46,28 @@
     def __init__(self, fixed_seconds: float, initial_cost: float) -> None:
         self.fixed_seconds = fixed_seconds
         self.initial_cost = initial_cost
-        self.mean = DecayingMean(PAUSE_WEIGHT)
-        self.cost = DecayingMean(SHARE_WEIGHT, value=initial_cost, samples=1)
+        self.pause = DecayingMean(PAUSE_WEIGHT)
+        self.cost = DecayingMean(COST_WEIGHT, value=initial_cost, samples=1)
         self.last_event = float("-inf")
 
     def note_event(self, previous: float | None, now: float, running: int) -> None:
-        """Record an event, when the one before it came, and what runs."""
+        """Record an event, the time of the previous one and the running requests."""
         self.last_event = now
         if previous is None:
             return
-        self.mean.add(now - previous)
-        if running >= FEW:
-            each = max(now - previous - self.fixed_seconds, 0.0) / running
-            known = max(self.cost.value, self.initial_cost)
-            self.cost.add(min(each, known * MOST_TIMES))
+        self.pause.add(now - previous)
+        if running >= MIN_RUNNING_REQUESTS:
+            cost = max(now - previous - self.fixed_seconds, 0.0) / running
+            current_cost = max(self.cost.value, self.initial_cost)
+            self.cost.add(min(cost, current_cost * MAX_COST_RATIO))
 
     def mean_seconds(self, now: float) -> float | None:
-        """Return the mean pass, ``None`` when no stream has shown it lately."""
-        return self.mean.value if self._fresh(now, self.mean) else None
+        """Return the mean pass in seconds, ``None`` without recent events."""
+        return self.pause.value if self._is_current(now, self.pause) else None
 
     def request_cost(self, now: float) -> float | None:
         """Return the seconds that a running request adds to a pass, if known."""
-        return self.cost.value if self._fresh(now, self.cost) else None
+        return self.cost.value if self._is_current(now, self.cost) else None
 
-    def _fresh(self, now: float, mean: DecayingMean) -> bool:
+    def _is_current(self, now: float, mean: DecayingMean) -> bool:
         return mean.samples > 0 and now - self.last_event <= STALE_SECONDS
--- a/packages/entry/src/briarthread_entry/direct/peer_reports.py
+++ b/packages/entry/src/briarthread_entry/direct/peer_reports.py
@@ -1,4 +1,4 @@
-"""What all entries together have running at the targets."""
+"""Running reports of the other entries, and their sums."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -19,42 +19,44 @@
 from briarthread_entry.direct.target_limits import TargetLimits
 
 STALE_CHECK_INTERVAL_SECONDS = 0.25
-"""How often silent entries are looked for; the sums are asked for at each
-event of each stream, and summing anew each time took most of an entry's time
-before 63 ranks."""
+"""Interval at which expired reports are dropped.
+
+The sums are read at every event of every stream. Computing them anew each time took
+most of an entry's processor time with 63 ranks.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class _ReceivedReport:
     report: RunningReport
-    at: float
-    until: float
+    received_at: float
+    expires_at: float
 
     def report_at(self, now: float) -> RunningReport:
-        """Return the report with its words as old as they are now."""
+        """Return the report with ages and remaining times updated to ``now``."""
         report = self.report
         if not report.limits and not report.crashes and not report.backoffs:
             return report
         limits = {
-            target: LimitWord(word.per_second, word.age + now - self.at)
+            target: LimitWord(word.per_second, word.age + now - self.received_at)
             for target, word in self.report.limits.items()
         }
-        crashes = self.report.crashes.aged(now - self.at)
+        crashes = self.report.crashes.aged(now - self.received_at)
         backoffs = {
             target: left
             for target, seconds in report.backoffs.items()
-            if (left := round(seconds - (now - self.at), 3)) > 0
+            if (left := round(seconds - (now - self.received_at), 3)) > 0
         }
         return replace(report, limits=limits, crashes=crashes, backoffs=backoffs)
 
 
 class PeerReports:
     """
-    Hold the newest report of each other entry, and what they sum up to.
+    Store the newest report of each other entry, and the sums of all reports.
 
-    Times are the runtime's seconds. What is told of targets' limits goes on to
-    ``limits``, of requests that crash targets to ``crashes``, of leaving targets to
-    ``leaving_targets``.
+    Times are the runtime's, in seconds. Reported limits of targets are passed on to
+    ``limits``, requests that crash targets to ``crashes`` and targets that are
+    shutting down to ``leaving_targets``.
 
     >>> reports = PeerReports()
     >>> reports.put("entry-2", RunningReport({"t-1": 3}), now=10.0)
@@ -89,21 +91,21 @@
         self.limits.put(entry, report.limits, now)
         self.crashes.put(entry, report.crashes, now)
         self.leaving_targets.put(entry, report.leaving)
-        self._note_backoffs(report, now)
+        self._extend_backoffs(report, now)
         self.totals.update(report.running)
 
     def is_backing_off(self, target: str, now: float) -> bool:
         """Return whether a backoff that another entry reported is still in effect."""
         return self.backoff_until.get(target, now) > now
 
-    def _note_backoffs(self, report: RunningReport, now: float) -> None:
+    def _extend_backoffs(self, report: RunningReport, now: float) -> None:
         """Extend the backoffs; a report that omits one does not end it."""
         for target, seconds in report.backoffs.items():
             until = max(self.backoff_until.get(target, now), now + seconds)
             self.backoff_until[target] = until
 
     def drop(self, entry: str) -> None:
-        """Forget an entry that is gone."""
+        """Remove the reports of an entry."""
         self._remove_report(entry)
         self.leaving_targets.drop(entry)
 
@@ -113,24 +115,26 @@
             self.totals.subtract(received.report.running)
 
     def fresh_reports(self, entries: Iterable[str], now: float) -> list[RunningReport]:
-        """Return the fresh reports of some entries."""
-        self._forget_stale(now)
-        found = [self.received[name] for name in entries if name in self.received]
-        return [received.report_at(now) for received in found]
+        """Return the unexpired reports of some entries."""
+        self._drop_expired(now)
+        selected = [self.received[name] for name in entries if name in self.received]
+        return [received.report_at(now) for received in selected]
 
     def running_elsewhere(self, target: str, now: float) -> int:
         """Return the attempts that other entries have running at a target."""
-        self._forget_stale(now)
+        self._drop_expired(now)
         return self.totals[target]
 
     def total_running_elsewhere(self, targets: Iterable[str], now: float) -> int:
         """Return the attempts that other entries have running at some targets."""
-        self._forget_stale(now)
+        self._drop_expired(now)
         return sum(self.totals.get(target, 0) for target in targets)
 
-    def sum_without(self, entry: str, own: RunningReport, now: float) -> RunningReport:
+    def sum_without(
+        self, entry: str, own_report: RunningReport, now: float
+    ) -> RunningReport:
         """
-        Return what all others than one entry have running, with ``own`` among them.
+        Return the sum of all entries but one, with ``own_report`` included.
 
         >>> reports = PeerReports()
         >>> reports.put("entry-2", RunningReport({"t-1": 3, "t-2": 1}), now=10.0)
@@ -138,40 +142,46 @@
         >>> reports.sum_without("entry-2", RunningReport({"t-1": 1}), now=10.0).running
         {'t-1': 3}
         """
-        self._forget_stale(now)
+        self._drop_expired(now)
         received = self.received.get(entry)
         running = self.totals.copy()
-        running.update(own.running)
+        running.update(own_report.running)
         if received is not None:
             running.subtract(received.report.running)
         groups = {name for one in self.received.values() for name in one.report.each}
-        each = {name: self.request_cost(name, now) or 0.0 for name in groups} | own.each
+        request_costs = {
+            name: self.request_cost(name, now) or 0.0 for name in groups
+        } | own_report.each
         others = [
             r.report_at(now) for name, r in self.received.items() if name != entry
         ]
-        limits = newest_words([own.limits, *(one.limits for one in others)])
-        crashes = all_words([own.crashes, *(one.crashes for one in others)])
-        leaving = merge_names([own.leaving, *(one.leaving for one in others)])
-        backoffs = longest_backoffs([own.backoffs, *(one.backoffs for one in others)])
-        return RunningReport(dict(+running), each, limits, crashes, leaving, backoffs)
+        limits = newest_words([own_report.limits, *(one.limits for one in others)])
+        crashes = all_words([own_report.crashes, *(one.crashes for one in others)])
+        leaving = merge_names([own_report.leaving, *(one.leaving for one in others)])
+        backoffs = longest_backoffs(
+            [own_report.backoffs, *(one.backoffs for one in others)]
+        )
+        return RunningReport(
+            dict(+running), request_costs, limits, crashes, leaving, backoffs
+        )
 
     def request_cost(self, group: str, now: float) -> float | None:
-        """Return what others see that a running request adds to a pass."""
-        self._forget_stale(now)
-        seen = [
+        """Return the mean of the other entries' request costs, in seconds per pass."""
+        self._drop_expired(now)
+        costs = [
             received.report.each[group]
             for received in self.received.values()
             if group in received.report.each
         ]
-        return sum(seen) / len(seen) if seen else None
+        return sum(costs) / len(costs) if costs else None
 
-    def _forget_stale(self, now: float) -> None:
-        """Drop entries that have fallen silent, looking now and then."""
+    def _drop_expired(self, now: float) -> None:
+        """Drop expired reports and backoffs, at most once per check interval."""
         if now < self.last_check + STALE_CHECK_INTERVAL_SECONDS:
             return
         self.last_check = now
         for target in [t for t, until in self.backoff_until.items() if until <= now]:
             del self.backoff_until[target]
         for entry, received in list(self.received.items()):
-            if now > received.until:
+            if now > received.expires_at:
                 self.drop(entry)
--- a/packages/entry/src/briarthread_entry/direct/report_blocks.py
+++ b/packages/entry/src/briarthread_entry/direct/report_blocks.py
@@ -1,13 +1,13 @@
 """
-Which entries tell each other what they have running, and by way of whom.
-
-It answers deployments of dozens to hundreds of entries. Where everyone follows
-everyone, or one of each block, an entry holds as many streams as there are
-entries or blocks, and reading ever more of them took most of its processor time
-before 129 ranks. So beyond a few entries each block has a collector: it follows
-the entries of its block and the sums of the other collectors, and tells each of
-its own what all others have running. An entry then holds one stream and is
-asked for one, however many entries there are.
+Blocks of entries, which determine how running reports are exchanged.
+
+They are for deployments of dozens to hundreds of entries. If every entry subscribed
+to every other entry, or to one entry of each block, it would hold as many streams as
+there are entries or blocks, and reading them took most of its processor time with 129
+ranks. Beyond a few entries, each block therefore has a collector. It subscribes to the
+entries of its block and to the sums of the other collectors, and sends each entry of
+its block the sum of all others. Any other entry then reads one stream and serves one,
+whatever the number of entries.
 """
 
 import math
@@ -17,20 +17,23 @@
 from briarthread_common.utils.hashing import rendezvous_order, stable_hash
 
 MAX_MESH_ENTRIES = 12
-"""Entries up to which everyone follows everyone: reports that take no detour
-are a quarter of a second fresher, and a dozen streams cost little."""
-MAX_BLOCK_ENTRIES = 24
-"""Entries of one block at most: its collector reads some three lines a second
-from each and sends each four, which is a few hundredths of a core."""
+"""Entries up to which every entry subscribes to every other: direct reports are a
+quarter of a second fresher, and a dozen streams cost little."""
+MAX_MEAN_BLOCK_SIZE = 24
+"""Largest mean number of entries in a block of a data centre.
+
+A collector reads about three lines a second from each entry of its block and sends
+each entry four, which takes a few hundredths of a core.
+"""
 
 
 def build_blocks(entries: Mapping[str, Instance]) -> dict[str, tuple[str, ...]]:
     """
-    Return the entries in blocks, alike in every process that knows the same.
+    Divide entries into blocks, identically in every process with the same entries.
 
-    The first of a block is its collector, the next takes its place. A block
-    lies within one data centre, so that one that is cut off counts on. Up to
-    ``MAX_MESH_ENTRIES`` entries make one block without a collector.
+    The first entry of a block is its collector, the next one its replacement. A block
+    lies within one data centre, so that the counts continue in one that is cut off. Up
+    to ``MAX_MESH_ENTRIES`` entries form one block without a collector.
 
     >>> from briarthread_common.messages.instance import InstanceRole
     >>> def row(number):
@@ -47,9 +50,9 @@
         centres.setdefault(row.data_centre, []).append(name)
     blocks: dict[str, list[str]] = {}
     for centre, names in centres.items():
-        number = math.ceil(len(names) / MAX_BLOCK_ENTRIES)
+        block_count = math.ceil(len(names) / MAX_MEAN_BLOCK_SIZE)
         for name in names:
-            label = f"{centre}/{stable_hash('block', name) % number}"
+            label = f"{centre}/{stable_hash('block', name) % block_count}"
             blocks.setdefault(label, []).append(name)
     return {
         label: tuple(rendezvous_order("collector", blocks[label]))
--- a/packages/entry/src/briarthread_entry/direct/running_reporter.py
+++ b/packages/entry/src/briarthread_entry/direct/running_reporter.py
@@ -1,4 +1,4 @@
-"""What an entry tells other entries of what is running."""
+"""Streams of running reports that an entry sends to other entries."""
 
 from collections.abc import Callable
 
@@ -18,21 +18,21 @@
 from briarthread_entry.direct.running_watcher import RunningWatcher
 
 REPORT_INTERVAL_SECONDS = 0.1
-"""Minimum interval between two running reports, in seconds. A longer interval lets
-the counts held by different entries drift further apart."""
+"""Minimum interval between two running reports. With a longer interval the counts held
+by different entries drift further apart."""
 SUM_INTERVAL_SECONDS = 0.25
-"""The same for sums over many entries, which change with every request of each:
-streams last some ten times as long."""
+"""Minimum interval between two sums over many entries, which change with every request
+of each entry. It is longer since a stream lasts about ten times as long."""
 COLLECTOR_START_SECONDS = 0.4
-"""How long one that is taken for a collector gathers reports before it tells a
-sum: calls to the entries of its block take some hundredths of a second."""
+"""Time during which a new collector gathers reports before it sends a sum: calls to the
+entries of its block take some hundredths of a second."""
 
 
 class RunningReporter:
     """
-    Answer those who follow what runs at this entry, its block or all entries.
+    Serve streams of running reports of this entry, its block or all entries.
 
-    ``own_report`` gives what this entry has running itself.
+    ``own_report`` returns the report of this entry alone.
     """
 
     def __init__(
@@ -49,11 +49,11 @@
             own_report, RunningReport.same_as, REPORT_INTERVAL_SECONDS, self.closed
         )
         self.block_stream = ReportStream(
-            self._block, RunningReport.same_as, SUM_INTERVAL_SECONDS, self.closed
+            self._block_report, RunningReport.same_as, SUM_INTERVAL_SECONDS, self.closed
         )
 
     def routes(self) -> list[Route]:
-        """Return the routes of those who follow."""
+        """Return the routes of the streams."""
         return [
             Route("GET", RUNNING_PATH, self.own_stream.handle),
             Route("GET", BLOCK_PATH, self._handle_block),
@@ -61,10 +61,10 @@
         ]
 
     def close(self) -> None:
-        """End all streams, so that the server's stop need not wait for them."""
+        """End all streams, so that stopping the server does not wait for them."""
         self.closed.set()
 
-    def _block(self) -> RunningReport:
+    def _block_report(self) -> RunningReport:
         now = anyio.current_time()
         return sum_of(
             [
@@ -74,29 +74,29 @@
         )
 
     async def _handle_block(self, call: Call) -> None:
-        await self._collect_for(self.block_stream, call)
+        await self._serve_as_collector(self.block_stream, call)
 
     async def _handle_others(self, call: Call) -> None:
-        reader = call.path.removeprefix(f"{OTHERS_PATH}/")
+        subscriber = call.path.removeprefix(f"{OTHERS_PATH}/")
 
-        def others() -> RunningReport:
+        def others_report() -> RunningReport:
             return self.peer_reports.sum_without(
-                reader, self.own_report(), anyio.current_time()
+                subscriber, self.own_report(), anyio.current_time()
             )
 
-        reporter = ReportStream(
-            others, RunningReport.same_as, SUM_INTERVAL_SECONDS, self.closed
+        stream = ReportStream(
+            others_report, RunningReport.same_as, SUM_INTERVAL_SECONDS, self.closed
         )
-        await self._collect_for(reporter, call)
+        await self._serve_as_collector(stream, call)
 
-    async def _collect_for(
-        self, reporter: ReportStream[RunningReport], call: Call
+    async def _serve_as_collector(
+        self, stream: ReportStream[RunningReport], call: Call
     ) -> None:
-        ready = self.watcher.is_collector()
+        was_collector = self.watcher.is_collector()
         self.watcher.change_subscribers(1)
         try:
-            if not ready:
+            if not was_collector:
                 await anyio.sleep(COLLECTOR_START_SECONDS)
-            await reporter.handle(call)
+            await stream.handle(call)
         finally:
             self.watcher.change_subscribers(-1)
--- a/packages/entry/src/briarthread_entry/direct/running_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/running_watcher.py
@@ -1,4 +1,4 @@
-"""The tasks that follow what other entries have running."""
+"""Tasks that read the running reports of other entries."""
 
 import random
 
@@ -25,23 +25,25 @@
     wanted_subscriptions,
 )
 
-REFRESH_SECONDS = 1.0
-"""How often the list of entries is looked at for new ones."""
-RETRY_SECONDS = 1.0
-"""Mean pause before a lost entry is called again."""
-NEXT_SECONDS = 0.1
-"""Mean pause before the next entry of a block is called in the place of its
-collector: until then nothing new is heard of any other entry."""
-PASSED_OVER_SECONDS = 5.0
-"""How long one that did not answer is passed over for the next of its block."""
-KEPT_SECONDS = 4.0
-"""How long the sum of many entries counts without a newer one: a lost collector
-is noticed and replaced in less, and without its word a loaded group would look
-empty meanwhile."""
+REFRESH_INTERVAL_SECONDS = 1.0
+"""Interval at which the list of entries is checked for changes."""
+RETRY_PAUSE_SECONDS = 1.0
+"""Mean pause before an entry whose stream has ended is called again."""
+FAILOVER_PAUSE_SECONDS = 0.1
+"""Mean pause before the next entry of a block is called instead of its collector: until
+then no report on any other entry is received."""
+UNRESPONSIVE_SECONDS = 5.0
+"""Time during which an entry that did not respond is skipped for the next one."""
+SUM_LIFETIME_SECONDS = 4.0
+"""Lifetime of a sum over many entries.
+
+A lost collector is detected and replaced within this time. If its sum expired earlier,
+a loaded group would look empty meanwhile.
+"""
 
 
 class RunningWatcher:
-    """Hold a stream of reports from each entry or block that is followed."""
+    """Keep a stream of reports open for each subscription."""
 
     def __init__(
         self,
@@ -58,34 +60,37 @@
         self.rng = rng
         self.subscriptions: dict[Subscription, anyio.CancelScope] = {}
         self.subscribers = 0
-        self.unresponsive = PassedOver(PASSED_OVER_SECONDS)
+        self.unresponsive = PassedOver(UNRESPONSIVE_SECONDS)
         self.collector_requested = anyio.Event()
 
     async def run(self) -> None:
-        """Follow the listed entries until cancelled."""
+        """Subscribe to the listed entries until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
                 self._refresh(tasks)
-                with anyio.move_on_after(REFRESH_SECONDS):
+                with anyio.move_on_after(REFRESH_INTERVAL_SECONDS):
                     await self.collector_requested.wait()
                 self.collector_requested = anyio.Event()
 
     def change_subscribers(self, change: int) -> None:
-        """Record that one more, or one less, takes this entry for a collector."""
+        """Change the number of entries that use this entry as their collector."""
         self.subscribers += change
         if change > 0 and self.subscribers == 1:
             self.collector_requested.set()
 
     def is_collector(self) -> bool:
-        """Tell whether this entry adds up what the others have running."""
+        """Return whether this entry sums up the reports of the others itself."""
         return not any(
-            isinstance(one, OthersSubscription) for one in self.subscriptions
+            isinstance(subscription, OthersSubscription)
+            for subscription in self.subscriptions
         )
 
     def direct_peers(self) -> list[str]:
-        """Return the entries that are followed for what they have running."""
+        """Return the entries whose own reports are subscribed to."""
         return [
-            one.name for one in self.subscriptions if isinstance(one, EntrySubscription)
+            subscription.name
+            for subscription in self.subscriptions
+            if isinstance(subscription, EntrySubscription)
         ]
 
     def _entries(self) -> dict[str, Instance]:
@@ -93,54 +98,67 @@
 
     def _refresh(self, tasks: TaskGroup) -> None:
         blocks = build_blocks(self._entries())
-        wanted = wanted_subscriptions(self.name, blocks, requested=self.subscribers > 0)
-        for followed in list(self.subscriptions):
-            if followed not in wanted:
-                self.subscriptions.pop(followed).cancel()
-                self.peer_reports.drop(report_source(followed))
-        for followed in wanted:
-            if followed not in self.subscriptions:
-                scope = self.subscriptions[followed] = anyio.CancelScope()
-                tasks.start_soon(self._keep_following, followed, scope)
-
-    async def _keep_following(
-        self, followed: Subscription, scope: anyio.CancelScope
+        wanted = wanted_subscriptions(
+            self.name, blocks, is_requested=self.subscribers > 0
+        )
+        for subscription in list(self.subscriptions):
+            if subscription not in wanted:
+                self.subscriptions.pop(subscription).cancel()
+                self.peer_reports.drop(report_source(subscription))
+        for subscription in wanted:
+            if subscription not in self.subscriptions:
+                scope = self.subscriptions[subscription] = anyio.CancelScope()
+                tasks.start_soon(self._keep_subscribed, subscription, scope)
+
+    async def _keep_subscribed(
+        self, subscription: Subscription, scope: anyio.CancelScope
     ) -> None:
         with scope:
             while True:
-                row = self._choose(followed)
+                row = self._choose_entry(subscription)
                 if row is not None:
-                    await self._follow_quietly(followed, row)
-                pause = NEXT_SECONDS if self._sound(followed) else RETRY_SECONDS
+                    await self._read_reports(subscription, row)
+                pause = (
+                    FAILOVER_PAUSE_SECONDS
+                    if self._responsive(subscription)
+                    else RETRY_PAUSE_SECONDS
+                )
                 await anyio.sleep(pause * self.rng.uniform(0.5, 1.5))
 
-    def _choose(self, followed: Subscription) -> Instance | None:
-        """Return the entry to call; of a block the first that did not fail lately."""
+    def _choose_entry(self, subscription: Subscription) -> Instance | None:
+        """Return the entry to call, of a block the first that did not fail recently."""
         entries = self._entries()
-        names = self._sound(followed) or self._candidates(followed)
+        names = self._responsive(subscription) or self._candidates(subscription)
         return entries.get(names[0]) if names else None
 
-    def _candidates(self, followed: Subscription) -> list[str]:
-        """Return the entries that can tell what is wanted, in the order of asking."""
-        match followed:
+    def _candidates(self, subscription: Subscription) -> list[str]:
+        """Return the entries that serve a subscription, in the order of preference."""
+        match subscription:
             case EntrySubscription(name):
                 return [name]
             case BlockSubscription(label) | OthersSubscription(label):
                 block = build_blocks(self._entries()).get(label, ())
                 return [name for name in block if name != self.name]
 
-    def _sound(self, followed: Subscription) -> list[str]:
-        return self.unresponsive.others(self._candidates(followed))
+    def _responsive(self, subscription: Subscription) -> list[str]:
+        return self.unresponsive.others(self._candidates(subscription))
 
-    async def _follow_quietly(self, followed: Subscription, row: Instance) -> None:
-        path = report_path(followed, self.name)
-        alone = isinstance(followed, EntrySubscription)
-        kept = SILENCE_SECONDS if alone else KEPT_SECONDS
+    async def _read_reports(self, subscription: Subscription, row: Instance) -> None:
+        path = report_path(subscription, self.name)
+        is_single_entry = isinstance(subscription, EntrySubscription)
+        lifetime = SILENCE_SECONDS if is_single_entry else SUM_LIFETIME_SECONDS
         reports = follow_reports(self.channel, row.address, path, RunningReport)
         try:
             async for report in reports:
                 now = anyio.current_time()
-                self.peer_reports.put(report_source(followed), report, now, kept)
+                self.peer_reports.put(
+                    report_source(subscription), report, now, lifetime
+                )
         except ChannelError as error:
             self.unresponsive.note(row.name)
-            logger.info("running: {} at {} lost: {}", followed, row.name, error)
+            logger.info(
+                "running: reports of {} from {} ended: {}",
+                subscription,
+                row.name,
+                error,
+            )
