--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of one attempt to a direct target."""
+"""Sending of a single attempt to a direct target."""
 
 import anyio
 
@@ -29,18 +29,19 @@
 from briarthread_entry.direct.target_limits import TargetLimits
 from briarthread_entry.direct.target_state import DirectTargetState
 
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer of a plain service that is held until it is whole."""
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+"""Largest response of a plain service that is buffered until it is complete."""
 DROPPED_HEADERS = frozenset(
     {"connection", "keep-alive", "transfer-encoding", "content-length", "trailer"}
 )
-"""Headers of an answer that concern the connection to the target only."""
+"""Response headers that concern only the connection to the target."""
 MISDIRECTED_REQUEST = 421
+"""The status with which another target at the same address refuses the request."""
 STREAM_STATUS = 200
 
 
 class AttemptSender:
-    """Send attempts and tell what is certain about each."""
+    """Send attempts and determine their outcome."""
 
     def __init__(
         self,
@@ -59,21 +60,25 @@
     async def send(
         self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
-        """Send one attempt; the events of a stream go on as they come."""
-        call = self._call(request, state, relay)
-        sent = anyio.current_time()
+        """Send one attempt; the events of a stream are relayed as they arrive."""
+        channel_request = self._build_request(request, state, relay)
+        sent_at = anyio.current_time()
         try:
             with self.backoffs.attempt(state.target.name):
-                async with self.channel.stream(call) as response:
-                    self._check_whose(request, response)
-                    self._note_head(state, response, sent)
+                async with self.channel.stream(channel_request) as response:
+                    self._check_request_id(request, response)
+                    self._record_head(state, response, sent_at)
                     return await self._read(request, response, relay)
         except NotWrittenError as error:
-            return ProvedNotRun(_failed(ErrorKind.NO_TARGET, error), written=False)
+            return ProvedNotRun(
+                _request_error(ErrorKind.NO_TARGET, error), written=False
+            )
         except SpoiltAnswerError as error:
-            return MayHaveRun(_failed(ErrorKind.TARGET_FAILED, error))
+            return MayHaveRun(_request_error(ErrorKind.TARGET_FAILED, error))
         except ChannelError as error:
-            return MayHaveRun(_failed(ErrorKind.TARGET_FAILED, error), broken_off=True)
+            return MayHaveRun(
+                _request_error(ErrorKind.TARGET_FAILED, error), broken_off=True
+            )
 
     async def _read(
         self, request: DirectRequest, response: ChannelResponse, relay: ResponseRelay
@@ -81,52 +86,62 @@
         names = self.names
         headers = response.headers
         if names.not_run in headers or response.status == MISDIRECTED_REQUEST:
-            await read_bounded(response.body, MAX_ANSWER_BYTES)
+            await read_bounded(response.body, MAX_RESPONSE_BYTES)
             faulty = headers.get(names.faulty_target, "")
             kind = ErrorKind.GROUP_BROKEN if faulty else ErrorKind.OVERLOADED
             return ProvedNotRun(
-                RequestError(kind, f"the target refused: {response.status} {faulty}"),
+                RequestError(
+                    kind, f"target refused the request: {response.status} {faulty}"
+                ),
                 replaced=response.status == MISDIRECTED_REQUEST,
                 faulty=faulty,
             )
-        self._check_answer(response)
-        passed_on = tuple(f for f in response.fields if f[0] not in DROPPED_HEADERS)
+        self._check_response(response)
+        forwarded = tuple(f for f in response.fields if f[0] not in DROPPED_HEADERS)
         if request.route.kind is CallKind.STREAM and response.status == STREAM_STATUS:
-            await self._pass_stream(response, passed_on, relay)
+            await self._relay_stream(response, forwarded, relay)
             return StreamPassedOn(relay.first_at, relay.longest_pause)
-        body = await read_bounded(response.body, MAX_ANSWER_BYTES)
-        return TargetAnswer(response.status, passed_on, body)
+        body = await read_bounded(response.body, MAX_RESPONSE_BYTES)
+        return TargetAnswer(response.status, forwarded, body)
 
-    def _check_whose(self, request: DirectRequest, response: ChannelResponse) -> None:
-        """Raise SpoiltAnswerError for an answer that is not to this request."""
+    def _check_request_id(
+        self, request: DirectRequest, response: ChannelResponse
+    ) -> None:
+        """Raise SpoiltAnswerError for a response to another request."""
         if response.headers.get(self.names.request_id, "") != request.id:
-            raise SpoiltAnswerError("the answer is to another request, or names none")
+            raise SpoiltAnswerError(
+                "response to another request or without a request id"
+            )
 
-    def _note_head(
-        self, state: DirectTargetState, response: ChannelResponse, sent: float
+    def _record_head(
+        self, state: DirectTargetState, response: ChannelResponse, sent_at: float
     ) -> None:
-        """Record limit, backoff and shutdown; a 421 comes from another target."""
+        """Record limit, backoff and shutdown, but not of a 421 from another target."""
         if response.status == MISDIRECTED_REQUEST:
             return
         name = state.target.name
         now = anyio.current_time()
-        named = [raw for field, raw in response.fields if field == self.names.limit]
-        self.limits.note_answer(name, ",".join(named) if named else None, sent, now)
+        limit_values = [
+            raw for field, raw in response.fields if field == self.names.limit
+        ]
+        self.limits.note_answer(
+            name, ",".join(limit_values) if limit_values else None, sent_at, now
+        )
         notice = read_notice(response, self.names.leaving)
         self.backoffs.note_answer(name, notice, now)
         if notice.leaving:
             self.leaving_targets.note_leaving(name)
 
-    def _check_answer(self, response: ChannelResponse) -> None:
-        """Raise SpoiltAnswerError for a success that is not the target's own."""
+    def _check_response(self, response: ChannelResponse) -> None:
+        """Raise SpoiltAnswerError for a success that the target did not produce."""
         if response.status >= 300:
             return
         if self.names.signature not in response.headers:
-            raise SpoiltAnswerError("a success without the target's signature")
+            raise SpoiltAnswerError("success response without the target's signature")
         if response.headers.get("content-encoding", "identity") != "identity":
-            raise SpoiltAnswerError("an encoding that nobody asked for")
+            raise SpoiltAnswerError("response has an unrequested content encoding")
 
-    async def _pass_stream(
+    async def _relay_stream(
         self, response: ChannelResponse, headers: HeaderFields, relay: ResponseRelay
     ) -> None:
         reader = EventReader()
@@ -134,15 +149,15 @@
             for event in reader.feed(chunk):
                 await relay.forward_event(response.status, headers, event)
         if reader.incomplete:
-            raise SpoiltAnswerError("the stream ended within an event")
+            raise SpoiltAnswerError("stream ended within an event")
         await relay.finish(response.status, headers)
 
-    def _call(
+    def _build_request(
         self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> ChannelRequest:
         names = self.names
-        left = max(request.deadline - anyio.current_time(), 0.0)
-        headers = [*request.headers, (names.time_left, str(int(left * 1000)))]
+        time_left = max(request.deadline - anyio.current_time(), 0.0)
+        headers = [*request.headers, (names.time_left, str(int(time_left * 1000)))]
         headers.append((names.expected_target, state.target.name))
         if request.account:
             headers.append((names.account_name, request.account))
@@ -158,5 +173,5 @@
         )
 
 
-def _failed(kind: ErrorKind, error: Exception) -> RequestError:
+def _request_error(kind: ErrorKind, error: Exception) -> RequestError:
     return RequestError(kind, str(error) or type(error).__name__)
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -1,4 +1,4 @@
-"""The entry before direct targets, put together."""
+"""Composition of an entry that sends to targets directly."""
 
 import random
 
@@ -50,11 +50,11 @@
 
 class DirectEntry:
     """
-    Hold the parts of one entry that sends to targets directly.
+    Create and connect the components of an entry that sends to targets directly.
 
-    ``app`` answers callers, ``peer_app`` other entries and operators. The
-    three channels keep connections to callers' targets, to peers and to the
-    platform apart, since each wants other timeouts.
+    ``app`` serves callers, ``peer_app`` other entries and operators. There are separate
+    channels for targets, peers and the platform, since each of them needs other
+    timeouts.
     """
 
     def __init__(
@@ -181,19 +181,19 @@
         tasks.start_soon(self._list_itself)
 
     def apply(self, settings: DirectSettings) -> None:
-        """Take over settings read anew; addresses stay until a restart."""
+        """Apply reloaded settings; addresses change only on a restart."""
         set_up_logs(settings.log_level, settings.log_json)
         self.budget.allowance = settings.allowance
 
     async def drain(self) -> None:
-        """Say that the entry leaves, and go on serving until it is heard."""
+        """Announce the shutdown, and serve requests until it has been noticed."""
         logger.info("entry: stopping")
         self.draining = True
         await anyio.sleep(self.settings.drain_notice)
         self.running_reporter.close()
 
     def ready(self) -> str:
-        """Return why the entry is not ready, or nothing."""
+        """Return the reason why the entry is not ready, empty if it is ready."""
         if self.draining:
             return "draining"
         if self.routes.current() is None:
@@ -203,7 +203,7 @@
         return ""
 
     def _forget(self) -> None:
-        """Forget the limits and announced shutdowns of targets that are gone."""
+        """Drop the limits and announced shutdowns of removed targets."""
         self.limits.keep(self.book.states)
         self.tokens.keep(self.book.states)
         self.leaving_targets.keep(self.book.states)
@@ -219,7 +219,7 @@
         await list_itself(row, self.directory, self.store)
 
     def _report(self) -> RunningReport:
-        """Return what other entries are told of what runs here."""
+        """Return the running report for the other entries."""
         report = self.admission.report()
         now = anyio.current_time()
         words, crashes = self.limits.words(now), self.crashes.words(now)
--- a/packages/entry/src/briarthread_entry/direct/direct_request.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_request.py
@@ -9,13 +9,13 @@
 @dataclass(frozen=True, slots=True)
 class DirectRequest:
     """
-    Hold a request as read; ``headers`` are those that go on to the target.
+    Hold a parsed request; ``headers`` are those that are forwarded to the target.
 
-    ``path`` is the path with its query, as the caller wrote it. ``arrived``
-    and ``deadline`` are seconds of the runtime's clock; the deadline is the
-    earlier of the caller's and the route's. ``caller_timeout`` is how many seconds
-    the caller itself was ready to wait, ``None`` where it did not say. ``digest`` is
-    the same for the same request of one account.
+    ``path`` is the path with its query, as sent by the caller. ``arrived`` and
+    ``deadline`` are seconds of the runtime's clock; the deadline is the earlier of the
+    caller's and the route's. ``caller_timeout`` is the number of seconds for which the
+    caller waits, ``None`` if it did not state any. ``digest`` is the same for identical
+    requests of one account.
     """
 
     id: str
@@ -36,7 +36,7 @@
     digest: str = ""
 
     def caller_time_left(self, now: float) -> float:
-        """Return the seconds that the caller itself still waits."""
+        """Return the seconds for which the caller still waits."""
         if self.caller_timeout is None:
             return self.deadline - now
         return self.arrived + self.caller_timeout - now
--- a/packages/entry/src/briarthread_entry/direct/event_reader.py
+++ b/packages/entry/src/briarthread_entry/direct/event_reader.py
@@ -1,4 +1,4 @@
-"""Splitting of a stream into whole events."""
+"""Parser that splits a stream into complete events."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event as its bytes, with its id, ``None`` for one without."""
+    """The bytes of an event and its id, ``None`` for an event without one."""
 
     raw: bytes
     id: int | None
@@ -15,7 +15,7 @@
 
 class EventReader:
     r"""
-    Collect chunks and give each event once its end is there.
+    Buffer chunks and return each event once it is complete.
 
     >>> reader = EventReader()
     >>> [event.id for event in reader.feed(b"id: 1\ndata: a\n\nid: 2\nda")]
@@ -28,13 +28,13 @@
         self.incomplete = b""
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Return the events that a chunk completes."""
-        *whole, self.incomplete = (self.incomplete + chunk).split(EVENT_END)
-        return [StreamEvent(raw + EVENT_END, event_id(raw)) for raw in whole]
+        """Return the events that are complete with this chunk."""
+        *complete, self.incomplete = (self.incomplete + chunk).split(EVENT_END)
+        return [StreamEvent(raw + EVENT_END, event_id(raw)) for raw in complete]
 
 
 def event_id(raw: bytes) -> int | None:
-    """Return the number in an event's id line."""
+    """Return the number in an event's id line, ``None`` without a valid one."""
     for line in raw.split(b"\n"):
         if line.startswith(b"id:"):
             value = line[3:].strip()
--- a/packages/entry/src/briarthread_entry/direct/final_error.py
+++ b/packages/entry/src/briarthread_entry/direct/final_error.py
@@ -1,4 +1,4 @@
-"""What a caller is told once no attempt at its request is left."""
+"""Final error of a request after its last attempt."""
 
 from collections.abc import Sequence
 
@@ -18,21 +18,21 @@
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
 SLOW_RANK = "slow-rank"
-"""Reason of a repeat that no failure caused, beside the kinds of errors."""
+"""Reason of a retry without a failure, in addition to the kinds of errors."""
 
 
 def final_error(
     failures: Sequence[DirectOutcome],
     caller_time_left: float,
-    pick: float,
+    jitter: float,
     closed: TargetsClosed | None = None,
 ) -> RequestError:
     """
-    Return the last failure, as not run only if no attempt may have run.
+    Return the error for the last failure; it is "not run" if no attempt may have run.
 
-    ``caller_time_left`` is how many seconds the caller still waits; ``pick`` from 0
-    to 1 spreads the returns of those who are told to come back. ``closed`` is set if
-    none of the remaining targets accepts a request.
+    ``caller_time_left`` is the number of seconds for which the caller still waits;
+    ``jitter``, from 0 to 1, spreads the client retries. ``closed`` is set if none of
+    the remaining targets accepts a request.
 
     >>> failed = MayHaveRun(RequestError(ErrorKind.TARGET_FAILED, "reset"))
     >>> refused = ProvedNotRun(RequestError(ErrorKind.OVERLOADED, "full"))
@@ -41,18 +41,18 @@
     >>> final_error([failed, refused], 6.0, 1.0).outcome
     <Outcome.UNKNOWN: 'unknown'>
     """
-    certain = all(isinstance(failure, ProvedNotRun) for failure in failures)
-    if closed is not None and certain:
-        pause = retry_after_backoff(caller_time_left, closed.opens_in, pick)
+    none_ran = all(isinstance(failure, ProvedNotRun) for failure in failures)
+    if closed is not None and none_ran:
+        pause = retry_after_backoff(caller_time_left, closed.opens_in, jitter)
         return RequestError(closed.kind, str(closed), retry_after=pause)
     if not failures:
-        pause = retry_after_refusal(ErrorKind.NO_TARGET, caller_time_left, pick)
+        pause = retry_after_refusal(ErrorKind.NO_TARGET, caller_time_left, jitter)
         return RequestError(
             ErrorKind.NO_TARGET, "no target is listed", retry_after=pause
         )
     last = failures[-1]
-    if isinstance(last, ProvedNotRun) and certain:
-        pause = retry_after_refusal(last.error.kind, caller_time_left, pick)
+    if isinstance(last, ProvedNotRun) and none_ran:
+        pause = retry_after_refusal(last.error.kind, caller_time_left, jitter)
         return RequestError(last.error.kind, last.error.detail, retry_after=pause)
     return RequestError(
         ErrorKind.TARGET_FAILED, _describe(last), outcome=Outcome.UNKNOWN
@@ -60,7 +60,7 @@
 
 
 def retry_reason(outcome: DirectOutcome) -> str:
-    """Return under which reason a repeat after an outcome is counted."""
+    """Return the reason under which a retry after an outcome is counted."""
     match outcome:
         case ProvedNotRun(error=error) | MayHaveRun(error=error):
             return str(error.kind)
@@ -75,6 +75,6 @@
         case ProvedNotRun(error=error) | MayHaveRun(error=error):
             return error.detail
         case LeftSlowRank():
-            return "no other rank took over from a slow one"
+            return "no other rank continued the stream of a slow rank"
         case _:
-            return "the target answered with a failure"
+            return "the target responded with a failure"
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -1,4 +1,4 @@
-"""Reading of a caller's request to a direct target."""
+"""Parser of callers' requests to direct targets."""
 
 import random
 
@@ -29,18 +29,18 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, 7.6.1); the length is
-stated anew for the body as it was read."""
+"""Headers that concern a single connection only (RFC 9110, 7.6.1); the content length
+is set again for the body that was read."""
 NO_ACCOUNT = DirectAccount("")
 
 
 class RequestReader:
-    """Turn a call into a request, or raise RequestError saying what is wrong."""
+    """Parse a call into a request, or raise RequestError with the reason."""
 
     def __init__(self, names: HeaderNames, rng: random.Random) -> None:
         self.names = names
         self.rng = rng
-        self.own_headers = frozenset(
+        self.consumed_headers = frozenset(
             {
                 names.account_key,
                 names.account_name,
@@ -51,24 +51,24 @@
         )
 
     async def read(self, call: Call, routes: RouteMap, arrived: float) -> DirectRequest:
-        """Return the request of a call, its body included."""
+        """Return the request of a call, including its body."""
         headers = call.headers
         host = headers.get("host", "").partition(":")[0].lower()
         route = routes.match(host, call.raw_path)
         if route is None:
-            raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for {host}")
+            raise RequestError(ErrorKind.UNKNOWN_SERVICE, f"no route for host {host}")
         account = self._account(headers, route, routes)
         body = await self._read_body(call, headers, routes)
         service = routes.services[self._choose_service(route)]
-        prompt, answer = _size(headers.get(self.names.size, ""))
-        patience = self._patience(headers)
+        prompt, answer = _parse_size(headers.get(self.names.size, ""))
+        caller_timeout = self._caller_timeout(headers)
         timeout = route.timeout
         priority = route.priority if account.priority is None else account.priority
         return DirectRequest(
             id=headers.get(self.names.request_id, ""),
             method=call.method,
             path=call.raw_target,
-            headers=self._passed_on(call, headers),
+            headers=self._forwarded_headers(call, headers),
             body=body,
             route=route,
             service=service,
@@ -76,11 +76,11 @@
             priority=priority,
             arrived=arrived,
             deadline=arrived
-            + (timeout if patience is None else min(patience, timeout)),
-            caller_timeout=patience,
+            + (timeout if caller_timeout is None else min(caller_timeout, timeout)),
+            caller_timeout=caller_timeout,
             prompt_tokens=prompt,
             answer_tokens=answer,
-            last_event_id=_event_id(headers.get(self.names.resume_from)),
+            last_event_id=_parse_event_id(headers.get(self.names.resume_from)),
             digest=request_digest(account.name, call.method, call.raw_target, body),
         )
 
@@ -91,7 +91,7 @@
         if account is not None:
             return account
         if routes.needs_key and not route.public:
-            raise RequestError(ErrorKind.UNAUTHORIZED, "the key is not known")
+            raise RequestError(ErrorKind.UNAUTHORIZED, "unknown account key")
         return NO_ACCOUNT
 
     async def _read_body(
@@ -104,7 +104,7 @@
                 return await call.read_body(routes.limits.max_body_bytes)
         except TimeoutError as error:
             raise RequestError(
-                ErrorKind.BODY_TOO_SLOW, "the body did not come in time"
+                ErrorKind.BODY_TOO_SLOW, "request body not received in time"
             ) from error
 
     def _choose_service(self, route: HostRoute) -> str:
@@ -113,7 +113,7 @@
         weights = [share.weight for share in route.shares]
         return self.rng.choices(route.shares, weights)[0].service
 
-    def _patience(self, headers: dict[str, str]) -> float | None:
+    def _caller_timeout(self, headers: dict[str, str]) -> float | None:
         raw = headers.get(self.names.time_left)
         if raw is None:
             return None
@@ -124,30 +124,30 @@
                 ErrorKind.BAD_REQUEST, f"{self.names.time_left} is not a number"
             ) from error
 
-    def _passed_on(
+    def _forwarded_headers(
         self, call: Call, headers: dict[str, str]
     ) -> tuple[tuple[str, str], ...]:
-        listed = {
+        connection_options = {
             name.strip().lower() for name in headers.get("connection", "").split(",")
         }
-        dropped = CONNECTION_HEADERS | self.own_headers | listed
+        dropped = CONNECTION_HEADERS | self.consumed_headers | connection_options
         return tuple(pair for pair in call.header_fields if pair[0] not in dropped)
 
 
-def _size(raw: str) -> tuple[int, int]:
+def _parse_size(raw: str) -> tuple[int, int]:
     """
-    Return the tokens of the prompt and the most tokens of the answer.
+    Return the number of prompt tokens and the largest number of answer tokens.
 
-    >>> _size("1460,80"), _size("")
+    >>> _parse_size("1460,80"), _parse_size("")
     ((1460, 80), (0, 0))
     """
     prompt, _, answer = raw.partition(",")
-    return _number(prompt), _number(answer)
+    return _parse_number(prompt), _parse_number(answer)
 
 
-def _number(raw: str) -> int:
+def _parse_number(raw: str) -> int:
     return int(raw) if raw.isdecimal() else 0
 
 
-def _event_id(raw: str | None) -> int | None:
+def _parse_event_id(raw: str | None) -> int | None:
     return int(raw) if raw is not None and raw.isdecimal() else None
--- a/packages/entry/src/briarthread_entry/direct/request_digest.py
+++ b/packages/entry/src/briarthread_entry/direct/request_digest.py
@@ -1,4 +1,4 @@
-"""By what a request is known again."""
+"""Digest by which a repeated request is recognised."""
 
 import hashlib
 
@@ -7,11 +7,11 @@
 
 def request_digest(account: str, method: str, path: str, body: bytes | None) -> str:
     """
-    Return a digest in hex that is the same for the same request of one account.
+    Return a hex digest that is the same for identical requests of one account.
 
-    ``path`` is with its query. The account is part of the key, so that nobody can
-    make a request that is taken for another account's; nothing of the body can be
-    read from it.
+    ``path`` includes the query. The digest is keyed with the account, so that no
+    account can construct a request that is taken for another account's. The body
+    cannot be recovered from the digest.
 
     >>> request_digest("a", "GET", "/x", None) == request_digest("b", "GET", "/x", None)
     False
--- a/packages/entry/src/briarthread_entry/direct/request_handler.py
+++ b/packages/entry/src/briarthread_entry/direct/request_handler.py
@@ -1,4 +1,4 @@
-"""A caller's request to a direct target, from arrival to answer."""
+"""Handler of callers' requests to direct targets, from arrival to response."""
 
 from collections.abc import Callable
 
@@ -19,7 +19,7 @@
 
 
 class RequestHandler:
-    """Read a request, run it and give the caller its final answer at once."""
+    """Parse and run a request and send the caller its final response."""
 
     def __init__(
         self,
@@ -28,28 +28,28 @@
         runner: RequestRunner,
         metrics: Metrics,
         events: EventLog,
-        stopping: Callable[[], bool],
+        is_draining: Callable[[], bool],
     ) -> None:
         self.routes = routes
         self.reader = reader
         self.runner = runner
         self.metrics = metrics
         self.events = events
-        self.stopping = stopping
+        self.is_draining = is_draining
 
     async def handle(self, call: Call) -> None:
         """Serve one call."""
-        call.closes = self.stopping()
+        call.closes = self.is_draining()
         arrived = anyio.current_time()
         try:
             request = await self._read(call, arrived)
         except RequestError as error:
             self.metrics.refusals.labels(str(error.kind)).inc()
             self.events.add("request-refused", call.path, error.detail)
-            await self._answer_error(call, error)
+            await self._send_error(call, error)
             return
         self.metrics.requests.labels(request.service.name).inc()
-        await self._serve(request, call)
+        await self._run(request, call)
         self.metrics.seconds.observe(anyio.current_time() - arrived)
 
     async def _read(self, call: Call, arrived: float) -> DirectRequest:
@@ -58,27 +58,27 @@
             raise RequestError(ErrorKind.NOT_READY, "no configuration yet")
         return await self.reader.read(call, routes, arrived)
 
-    async def _serve(self, request: DirectRequest, call: Call) -> None:
+    async def _run(self, request: DirectRequest, call: Call) -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             try:
                 await self.runner.run(request, call)
             except RequestError as error:
-                self._note(request, error)
-                await self._answer_error(call, error)
+                self._record_error(request, error)
+                await self._send_error(call, error)
             tasks.cancel_scope.cancel()
 
-    def _note(self, request: DirectRequest, error: RequestError) -> None:
+    def _record_error(self, request: DirectRequest, error: RequestError) -> None:
         self.metrics.refusals.labels(str(error.kind)).inc()
-        left = request.deadline - anyio.current_time()
+        time_left = request.deadline - anyio.current_time()
         self.events.add(
             "request-failed",
             f"{request.account}/{request.service.name}",
-            f"{error.kind}: {error.detail} ({error.outcome}, {left:.2f} s left)",
+            f"{error.kind}: {error.detail} ({error.outcome}, {time_left:.2f} s left)",
             request.id,
         )
 
-    async def _answer_error(self, call: Call, error: RequestError) -> None:
+    async def _send_error(self, call: Call, error: RequestError) -> None:
         if call.started:
             raise AnswerAborted(str(error)) from error
         status = ERROR_ANSWERS[error.kind].status
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -1,4 +1,4 @@
-"""The attempts of one request at direct targets."""
+"""Execution of a request by attempts at direct targets."""
 
 import random
 from functools import partial
@@ -35,16 +35,20 @@
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
 MAX_FAILED_ATTEMPTS = 3
-"""Targets tried in a row that did not even take the connection."""
+"""Failures after which a request is not retried.
+
+It bounds the attempts that did not even connect, which do not count towards the route's
+attempts.
+"""
 
 
 class RequestRunner:
     """
-    Send a request to as many targets as are proved safe and worth it.
+    Send a request to one target after the other while a retry is safe and allowed.
 
-    A request that may run once goes to another target only when the last one
-    is proved not to have run it. Any other may, within the route's attempts
-    and the retry budget.
+    A request that may run only once is sent to another target only if the last one
+    provably did not run it. Any other request is retried within the route's number of
+    attempts and the retry budget.
     """
 
     def __init__(
@@ -72,7 +76,7 @@
         self.rng = rng
 
     async def run(self, request: DirectRequest, call: Call) -> None:
-        """Answer the caller, or raise the RequestError that it gets."""
+        """Respond to the caller, or raise the RequestError to respond with."""
         if self.crashes.shut_out(request.digest, anyio.current_time()):
             raise RequestError(
                 ErrorKind.CRASHES_TARGETS,
@@ -85,7 +89,7 @@
                 await self._run_attempts(request, call, relay, failures)
         except TimeoutError as error:
             raise RequestError(
-                ErrorKind.OUTCOME_UNKNOWN, "no answer within the route's time"
+                ErrorKind.OUTCOME_UNKNOWN, "no response before the deadline"
             ) from error
 
     async def _run_attempts(
@@ -104,24 +108,24 @@
         while True:
             state = await self._choose(request, tried, groups, failures)
             if state is None:
-                raise self._final(request, failures)
+                raise self._final_error(request, failures)
             tried.add(state.target.name)
-            leaves = self._may_leave(request, sent)
-            outcome = await self._attempt(request, state, relay, leaves)
+            may_change_rank = self._may_change_rank(request, sent)
+            outcome = await self._attempt(request, state, relay, may_change_rank)
             match outcome:
                 case StreamPassedOn():
                     return
                 case TargetAnswer(status=status) if status < SERVER_ERROR:
-                    await _reply(call, outcome)
+                    await _send_response(call, outcome)
                     return
                 case ProvedNotRun(written=False):
                     pass
                 case _:
                     sent += 1
             failures.append(outcome)
-            groups = self._groups_for_repeat(request, state)
-            if not self._may_repeat(request, failures, sent, bool(groups)):
-                await self._give_up(request, call, failures)
+            groups = self._groups_for_retry(request, state)
+            if not self._may_retry(request, failures, sent, bool(groups)):
+                await self._finish_failed(request, call, failures)
                 return
 
     async def _choose(
@@ -135,27 +139,27 @@
         try:
             return await self.chooser.choose(request, tried, groups)
         except TargetsClosed as error:
-            raise self._final(request, failures, error) from error
+            raise self._final_error(request, failures, error) from error
 
-    def _groups_for_repeat(
+    def _groups_for_retry(
         self, request: DirectRequest, failed: DirectTargetState
     ) -> set[GroupId] | None:
         """
-        Return the other groups that a request may go on in, ``None`` without any.
+        Return the other groups in which a request may continue, ``None`` if none.
 
-        Whatever happens to a rank happens to its whole group.
+        A failure of a rank affects its whole group.
         """
         if request.service.engine is None:
             return None
-        found = self.capacity.open_groups(request, anyio.current_time())
-        return found - {self.capacity.membership.group_of(failed.target)} or None
+        open_groups = self.capacity.open_groups(request, anyio.current_time())
+        return open_groups - {self.capacity.membership.group_of(failed.target)} or None
 
     async def _attempt(
         self,
         request: DirectRequest,
         state: DirectTargetState,
         relay: ResponseRelay,
-        leaves: bool,
+        may_change_rank: bool,
     ) -> DirectOutcome:
         started = anyio.current_time()
         group = self.capacity.membership.group_of(state.target)
@@ -164,8 +168,8 @@
         state.running += 1
         state.prompt_tokens += request.prompt_tokens
         try:
-            if leaves:
-                outcome = await self._send_or_leave(request, state, relay)
+            if may_change_rank:
+                outcome = await self._send_until_slow(request, state, relay)
             else:
                 outcome = await self.sender.send(request, state, relay)
         finally:
@@ -177,21 +181,25 @@
         )
         return outcome
 
-    def _may_leave(self, request: DirectRequest, sent: int) -> bool:
-        """Tell whether a stream may go on at another rank if its own turns slow."""
-        again = sent + 1 < request.route.max_attempts
-        return again and request.service.engine is not None and request.route.repeatable
+    def _may_change_rank(self, request: DirectRequest, sent: int) -> bool:
+        """Return whether a stream may continue at another rank if its own gets slow."""
+        attempts_left = sent + 1 < request.route.max_attempts
+        return (
+            attempts_left
+            and request.service.engine is not None
+            and request.route.repeatable
+        )
 
-    async def _send_or_leave(
+    async def _send_until_slow(
         self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
-        """Send an attempt, and break it off when its rank turns slow."""
-        left: list[LeftSlowRank] = []
+        """Send an attempt; cancel it if its rank gets slow and a retry is allowed."""
+        outcomes: list[LeftSlowRank] = []
 
         def leave(factor: float) -> None:
             outcome = LeftSlowRank(factor)
-            if self._spend_repeat(request, retry_reason(outcome)):
-                left.append(outcome)
+            if self._spend_retry(request, retry_reason(outcome)):
+                outcomes.append(outcome)
                 scope.cancel()
 
         service = request.service.name
@@ -200,16 +208,20 @@
             self.slow_ranks.watched(service, state, leave),
         ):
             return await self.sender.send(request, state, relay)
-        return left[0]
+        return outcomes[0]
 
-    def _may_repeat(
+    def _may_retry(
         self,
         request: DirectRequest,
         failures: list[DirectOutcome],
         sent: int,
-        elsewhere: bool,
+        has_alternative: bool,
     ) -> bool:
-        """Tell whether to try again; ``elsewhere`` says that another group can."""
+        """
+        Return whether to retry.
+
+        ``has_alternative`` is true if another group has free capacity.
+        """
         outcome = failures[-1]
         if isinstance(outcome, LeftSlowRank):
             return True
@@ -217,42 +229,44 @@
             return False
         if self.crashes.count(request.digest) > LAST_REPEATED:
             return False
-        if isinstance(outcome, ProvedNotRun) and outcome.faulty and not elsewhere:
+        if isinstance(outcome, ProvedNotRun) and outcome.faulty and not has_alternative:
             return False
         if isinstance(outcome, ProvedNotRun) and not outcome.written:
             return True
         if not isinstance(outcome, ProvedNotRun) and not request.route.repeatable:
             return False
-        return self._spend_repeat(request, retry_reason(outcome))
+        return self._spend_retry(request, retry_reason(outcome))
 
-    def _spend_repeat(self, request: DirectRequest, reason: str) -> bool:
-        """Take a repeat out of the budget and count it; tell whether there was one."""
+    def _spend_retry(self, request: DirectRequest, reason: str) -> bool:
+        """Spend and count a retry; return whether the budget allowed it."""
         if not self.budget.spend(request.service.name, anyio.current_time()):
             self.metrics.refusals.labels(str(ErrorKind.RETRY_BUDGET)).inc()
             return False
         self.metrics.retries.labels(reason).inc()
         return True
 
-    async def _give_up(
+    async def _finish_failed(
         self, request: DirectRequest, call: Call, failures: list[DirectOutcome]
     ) -> None:
-        last = failures[-1]
-        if isinstance(last, TargetAnswer) and not call.started:
-            await _reply(call, last)
+        last_outcome = failures[-1]
+        if isinstance(last_outcome, TargetAnswer) and not call.started:
+            await _send_response(call, last_outcome)
             return
-        raise self._final(request, failures)
+        raise self._final_error(request, failures)
 
-    def _final(
+    def _final_error(
         self,
         request: DirectRequest,
         failures: list[DirectOutcome],
         closed: TargetsClosed | None = None,
     ) -> RequestError:
-        left = request.caller_time_left(anyio.current_time())
-        return final_error(failures, left, self.rng.random(), closed)
+        time_left = request.caller_time_left(anyio.current_time())
+        return final_error(failures, time_left, self.rng.random(), closed)
 
 
-async def _reply(call: Call, answer: TargetAnswer) -> None:
+async def _send_response(call: Call, answer: TargetAnswer) -> None:
     if call.started:
-        raise AnswerAborted("a stream cannot go on with a whole answer")
+        raise AnswerAborted(
+            "a started stream cannot be completed with a buffered response"
+        )
     await call.reply(answer.status, answer.body, answer.headers)
--- a/packages/entry/src/briarthread_entry/direct/response_relay.py
+++ b/packages/entry/src/briarthread_entry/direct/response_relay.py
@@ -1,4 +1,4 @@
-"""What a caller has got of its answer so far."""
+"""Relay of a target's response to the caller."""
 
 from collections.abc import Callable
 
@@ -14,14 +14,15 @@
 
 class ResponseRelay:
     """
-    Pass an answer on to the caller, each event of a stream exactly once.
+    Relay a response to the caller, each event of a stream exactly once.
 
-    The head goes out with the first event, so that a stream that broke
-    before it can still be refused or started elsewhere. A later run may go
-    on in the same answer; events that the caller has are left out then, and
-    one that skips some is an error. ``on_event`` is told when the event before
-    of the same run was passed on. ``first_at`` is when the first event went out, and
-    ``longest_pause`` the longest time, s, between two.
+    The head is sent with the first event, so that a stream that breaks before it can
+    still be refused or started at another target. A later attempt may continue the
+    same response. Events that the caller already has are then dropped, and a gap in the
+    event ids is an error. ``on_event`` is called for each event with the time at which
+    the previous event of the same attempt was sent. ``first_at`` is the time at which
+    the first event was sent and ``longest_pause`` the longest time, in seconds, between
+    two events.
     """
 
     def __init__(
@@ -38,21 +39,21 @@
         self.longest_pause = 0.0
 
     def begin_attempt(self, on_event: Callable[[float | None], None]) -> None:
-        """Have ``on_event`` told of the events of a run that begins now."""
+        """Start an attempt whose events are reported to ``on_event``."""
         self.on_event = on_event
         self.last_attempt_event_at = None
 
     async def forward_event(
         self, status: int, headers: HeaderFields, event: StreamEvent
     ) -> None:
-        """Send an event on unless the caller has it."""
+        """Send an event to the caller unless the caller already has it."""
         if event.id is not None and self.last_event_id is not None:
             if event.id <= self.last_event_id:
                 return
             if event.id > self.last_event_id + 1:
                 raise RequestError(
                     ErrorKind.TARGET_FAILED,
-                    f"event {event.id} came after event {self.last_event_id}",
+                    f"event {event.id} received after event {self.last_event_id}",
                 )
         if not self.call.started:
             await self.call.start(status, headers)
@@ -64,7 +65,7 @@
             self.last_event_id = event.id
 
     async def finish(self, status: int, headers: HeaderFields) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         if not self.call.started:
             await self.call.start(status, headers)
         await self.call.finish()
@@ -78,4 +79,4 @@
 
 
 def _ignore(previous: float | None) -> None:
-    """Take no note of an event."""
+    """Ignore an event."""
--- a/packages/entry/src/briarthread_entry/direct/settings.py
+++ b/packages/entry/src/briarthread_entry/direct/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an entry before direct targets, with their defaults."""
+"""Settings of an entry that sends to targets directly, with their defaults."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,7 +18,7 @@
 
 CALLERS = SectionSpec(
     "callers",
-    "Where callers and the platform's own probes come in.",
+    "Addresses for callers and for the platform's probes.",
     (
         Option("listen", OptionKind.ADDRESS, None, "Address for callers."),
         Option(
@@ -35,21 +35,21 @@
             "retry_ratio",
             OptionKind.NUMBER,
             "0.2",
-            "Repeats allowed for each request of a service.",
+            "Retries allowed for each request of a service.",
             minimum=0,
         ),
         Option(
             "retry_slack",
             OptionKind.NUMBER,
             "20",
-            "Repeats allowed besides, all entries together.",
+            "Additional retries allowed, for all entries together.",
             minimum=0,
         ),
         Option(
             "retry_window",
             OptionKind.SECONDS,
             "10",
-            "Time over which repeats are counted, s.",
+            "Time over which retries are counted, s.",
         ),
     ),
 )
@@ -76,7 +76,7 @@
 
 
 def load_direct_settings(path: Path) -> DirectSettings:
-    """Return the settings of a file or raise ChecksFailed with all faults."""
+    """Return the settings of a file, or raise ChecksFailed with all errors."""
     values = read_settings(path, DIRECT_SECTIONS)
     instance, direct = values["instance"], values["direct"]
     return DirectSettings(
--- a/packages/entry/src/briarthread_entry/direct/waiting_place.py
+++ b/packages/entry/src/briarthread_entry/direct/waiting_place.py
@@ -1,4 +1,4 @@
-"""The place of a request among those that wait for room."""
+"""Order of the requests that wait for capacity."""
 
 from dataclasses import dataclass
 
@@ -6,10 +6,10 @@
 @dataclass(frozen=True, slots=True, order=True)
 class WaitingPlace:
     """
-    Order those who wait for one service; the least goes first.
+    Order the requests that wait for one service; the smallest is admitted first.
 
-    >>> new = WaitingPlace(False, 1, 5.0, "b", "model")
-    >>> new < WaitingPlace(True, 0, 1.0, "a", "model")
+    >>> first = WaitingPlace(False, 1, 5.0, "b", "model")
+    >>> first < WaitingPlace(True, 0, 1.0, "a", "model")
     True
     """
 
@@ -20,5 +20,5 @@
     service: str
 
     def is_before(self, other: "WaitingPlace") -> bool:
-        """Tell whether this one is let in before another of its service."""
+        """Return whether this request is admitted before another of its service."""
         return self.service == other.service and self < other
