--- a/tests/direct/test_configuration.py
+++ b/tests/direct/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration and list of targets reach every entry and never go back."""
+"""Configuration and target list reach every entry, and older versions never return."""
 
 import anyio
 import pytest
@@ -8,7 +8,7 @@
 
 ENTRIES = ("entry-1", "entry-2", "entry-3", "entry-4")
 IN_FORCE_SECONDS = 2.0
-"""What the platform's rules allow between acknowledgement and effect."""
+"""Longest time between acknowledgement and effect that the platform's rules allow."""
 
 
 def new_config(version: int) -> dict[str, object]:
@@ -39,7 +39,7 @@
     in_direct_world(scenario, ENTRIES)
 
 
-def test_lower_version_never_comes_back() -> None:
+def test_lower_version_is_ignored() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.store.put("op", "config", new_config(5))
         await anyio.sleep(1)
@@ -81,7 +81,7 @@
     in_direct_world(scenario)
 
 
-def test_entry_that_the_store_turns_away_learns_from_a_peer() -> None:
+def test_entry_cut_off_from_the_store_learns_from_a_peer() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.network.cut("catania", "store")
         world.add_entry("cut", "catania")
@@ -116,16 +116,16 @@
         world.store.forget()
         await anyio.sleep(IN_FORCE_SECONDS)
         assert await statuses(world, "/v2/1") == [200] * 4
-        before = len(world.workers["diary-0"].seen)
+        seen_before = len(world.workers["diary-0"].seen)
         for _ in range(10):
             await world.ask("entry-1", "/list/1")
-        assert len(world.workers["diary-0"].seen) == before
+        assert len(world.workers["diary-0"].seen) == seen_before
 
     in_direct_world(scenario, ENTRIES)
 
 
-async def ask_at_once(world: DirectWorld, path: str, number: int) -> None:
-    """Send so many requests at the same time, so that all targets get some."""
+async def send_concurrent_requests(world: DirectWorld, path: str, number: int) -> None:
+    """Send ``number`` requests at the same time, so that every target gets some."""
 
     async def ask() -> None:
         assert (await world.ask("entry-2", path)).status == 200
@@ -139,21 +139,21 @@
 def test_leaving_target_gets_no_new_work_soon_after(removed: bool) -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(3)
-        await ask_at_once(world, "/list/1", 20)
+        await send_concurrent_requests(world, "/list/1", 20)
         assert world.workers["diary-0"].seen
         if removed:
             world.store.drop("servers", "diary-0")
         else:
             world.list_worker("diary-0", DIARY, state="draining")
         await anyio.sleep(IN_FORCE_SECONDS / 2)
-        before = len(world.workers["diary-0"].seen)
-        await ask_at_once(world, "/list/1", 20)
-        assert len(world.workers["diary-0"].seen) == before
+        seen_before = len(world.workers["diary-0"].seen)
+        await send_concurrent_requests(world, "/list/1", 20)
+        assert len(world.workers["diary-0"].seen) == seen_before
 
     in_direct_world(scenario, ENTRIES)
 
 
-def test_rows_that_lapse_with_the_platform_stay_in_use_until_it_is_back() -> None:
+def test_rows_that_expire_during_an_outage_stay_in_use_until_recovery() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.store.silent = True
         await anyio.sleep(6)
@@ -171,17 +171,17 @@
     in_direct_world(scenario, ENTRIES)
 
 
-def test_rows_that_stay_away_after_the_platforms_return_are_gone() -> None:
+def test_rows_still_missing_after_the_platforms_recovery_are_removed() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.store.silent = True
         await anyio.sleep(6)
         world.store.drop("servers", "diary-0")
         world.store.silent = False
         await anyio.sleep(5)
-        before = len(world.workers["diary-0"].seen)
+        seen_before = len(world.workers["diary-0"].seen)
         for _ in range(10):
             await world.ask("entry-1", "/list/1")
-        assert len(world.workers["diary-0"].seen) == before
+        assert len(world.workers["diary-0"].seen) == seen_before
 
     in_direct_world(scenario)
 
@@ -189,19 +189,21 @@
 def test_three_entries_of_a_data_centre_follow_for_all() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        before = world.store.calls
+        calls_before = world.store.calls
         await anyio.sleep(60)
-        a_minute = world.store.calls - before
-        assert a_minute <= 3 * 3 * (60 / 4 + 1)
+        calls_per_minute = world.store.calls - calls_before
+        assert calls_per_minute <= 3 * 3 * (60 / 4 + 1)
 
     in_direct_world(scenario, ENTRIES)
 
 
-def test_followers_that_the_platform_turns_away_hold_nobody_up() -> None:
+def test_followers_rejected_by_the_platform_delay_no_entry() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        duty = world.entries["entry-1"].spreader.poll_duty.names()
-        world.store.turned_away = {world.entries[name].settings.listen for name in duty}
+        followers = world.entries["entry-1"].spreader.poll_duty.names()
+        world.store.turned_away = {
+            world.entries[name].settings.listen for name in followers
+        }
         world.store.put("op", "config", new_config(2))
         await anyio.sleep(IN_FORCE_SECONDS)
         assert await statuses(world, "/v2/1") == [200] * 4
@@ -212,14 +214,14 @@
 def test_followers_that_die_are_replaced_in_time() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        duty = world.entries["entry-1"].spreader.poll_duty.names()
-        for name in duty:
+        followers = world.entries["entry-1"].spreader.poll_duty.names()
+        for name in followers:
             entry = world.entries[name]
             world.network.freeze(entry.settings.listen, True)
         await anyio.sleep(3)
         world.store.put("op", "config", new_config(2))
         await anyio.sleep(IN_FORCE_SECONDS)
-        for name in set(world.entries) - set(duty):
+        for name in set(world.entries) - set(followers):
             assert (await world.ask(name, "/v2/1")).status == 200
 
     in_direct_world(scenario, ENTRIES)
--- a/tests/direct/test_group_word.py
+++ b/tests/direct/test_group_reports.py
@@ -1,4 +1,4 @@
-"""What agents say of a group helps, and cannot keep callers out for long."""
+"""Agents' reports on a group are used, and wrong ones do not block callers for long."""
 
 import anyio
 from direct_builders import MODEL, in_direct_world
@@ -11,25 +11,25 @@
 SIZE = {"x-token-count": "100,30"}
 
 
-def say(world: DirectWorld, serving: bool) -> None:
-    """Have an agent say whether the group serves."""
+def put_report(world: DirectWorld, serving: bool) -> None:
+    """Store an agent's report that the group serves or not."""
     entry = world.entries["entry-1"]
     entry.group_reports.put(GroupId(MODEL), GroupReport(serving), anyio.current_time())
 
 
 async def statuses(world: DirectWorld, serving: bool, number: int) -> list[int]:
-    """Ask so many times, a tenth of a second apart, while an agent says so."""
-    found = []
+    """Send ``number`` requests, 0.1 s apart, each after a report of ``serving``."""
+    results = []
     for _ in range(number):
-        say(world, serving)
-        found.append((await world.ask("entry-1", "/chat/1", SIZE)).status)
+        put_report(world, serving)
+        results.append((await world.ask("entry-1", "/chat/1", SIZE)).status)
         await anyio.sleep(0.1)
-    return found
+    return results
 
 
-def test_group_that_is_said_to_be_away_is_refused_at_once() -> None:
+def test_group_reported_as_not_serving_is_refused_at_once() -> None:
     async def scenario(world: DirectWorld) -> None:
-        say(world, serving=False)
+        put_report(world, serving=False)
         reply = await world.ask("entry-1", "/chat/1", SIZE)
         assert reply.status == 503
         assert reply.headers["briarthread-outcome"] == "not-run"
@@ -38,16 +38,16 @@
     in_direct_world(scenario)
 
 
-def test_wrong_word_that_a_group_is_away_is_found_out_by_a_probe() -> None:
+def test_wrong_report_of_an_outage_is_corrected_by_a_probe() -> None:
     async def scenario(world: DirectWorld) -> None:
-        found = await statuses(world, serving=False, number=10)
-        assert 200 in found[:5]
-        assert found[-4:] == [200] * 4
+        results = await statuses(world, serving=False, number=10)
+        assert 200 in results[:5]
+        assert results[-4:] == [200] * 4
 
     in_direct_world(scenario)
 
 
-def test_word_that_a_group_serves_again_ends_its_outage() -> None:
+def test_report_that_a_group_serves_ends_its_outage() -> None:
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
             worker.faults = [WorkerFault.GROUP_BROKEN]
--- a/tests/direct/test_load.py
+++ b/tests/direct/test_load.py
@@ -1,8 +1,8 @@
 """
-What callers get from a group under the loads that admission is made for.
+Results for callers of a group under the loads that admission is designed for.
 
-The same load is played without a limit, with a fixed number of streams an
-entry, and with the group's own limit.
+The same load is played without a limit, with a fixed number of streams per entry and
+with the group's own limit.
 """
 
 import pytest
@@ -13,23 +13,23 @@
 from briarthread_standins.play_load import play_load
 
 CAPACITY = 16.0
-"""Requests a second that the stand-in's group serves in time: 32 streams make
-passes of 96 ms, and each takes 21 of them."""
+"""Requests a second that the stand-in group serves in time: 32 streams lead to passes
+of 96 ms, and each request takes 21 of them."""
 SECONDS = 12.0
 OUTAGES = {"": 0.0, "broken": 2.0, "cut": 5.2}
-"""Seconds that a group is away, by the trouble."""
+"""Duration of the group's outage, in seconds, for each kind of failure."""
 
 
 def play(
-    rate: float, limit: str, trouble: str = "", burst: float = 1.0, seed: int = 7
+    rate: float, limit: str, failure: str = "", burst: float = 1.0, seed: int = 7
 ) -> CallerTally:
-    """Play a load of so many requests a second and return what callers got."""
-    day = LoadDay(rate, SECONDS, burst, outage_seconds=OUTAGES[trouble], seed=seed)
+    """Play a load of ``rate`` requests a second and return the callers' results."""
+    day = LoadDay(rate, SECONDS, burst, outage_seconds=OUTAGES[failure], seed=seed)
     return play_load(day, LIMITS[limit])
 
 
 LIMITS = {"group": keep, "none": no_limit, "fixed": fixed_limit}
-"""The group's own limit and the baselines."""
+"""The group's own limit and the baselines to compare it with."""
 
 
 def test_load_within_capacity_is_served_in_time_and_nobody_is_refused() -> None:
@@ -39,16 +39,16 @@
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5, 4.0])
-def test_overload_is_worth_more_with_the_groups_limit_than_without(
+def test_overload_results_are_better_with_the_groups_limit(
     factor: float,
 ) -> None:
-    ours = play(CAPACITY * factor, "group")
-    unlimited = play(CAPACITY * factor, "none")
-    fixed = play(CAPACITY * factor, "fixed")
-    assert ours.worth > unlimited.worth
-    assert ours.worth > fixed.worth
-    assert ours.in_time >= 0.75 * CAPACITY * SECONDS
-    assert ours.lost <= 0.05 * ours.asked
+    with_group_limit = play(CAPACITY * factor, "group")
+    without_limit = play(CAPACITY * factor, "none")
+    with_fixed_limit = play(CAPACITY * factor, "fixed")
+    assert with_group_limit.worth > without_limit.worth
+    assert with_group_limit.worth > with_fixed_limit.worth
+    assert with_group_limit.in_time >= 0.75 * CAPACITY * SECONDS
+    assert with_group_limit.lost <= 0.05 * with_group_limit.asked
 
 
 def test_refusals_come_at_once() -> None:
@@ -57,7 +57,7 @@
     assert tally.slowest_refusal < 0.25
 
 
-def test_short_bursts_are_served_on_return() -> None:
+def test_short_bursts_are_served_on_client_retry() -> None:
     tallies = [play(CAPACITY * 0.6, "group", burst=3.0, seed=n) for n in range(1, 9)]
     refused = sum(tally.refused for tally in tallies)
     assert refused >= 50
@@ -66,9 +66,9 @@
         assert tally.in_time + tally.late >= 0.9 * tally.asked
 
 
-def test_broken_group_refuses_at_once_and_serves_those_who_return() -> None:
+def test_broken_group_refuses_at_once_and_serves_client_retries() -> None:
     tallies = [
-        play(CAPACITY * 0.5, "group", trouble="broken", seed=n) for n in range(1, 5)
+        play(CAPACITY * 0.5, "group", failure="broken", seed=n) for n in range(1, 5)
     ]
     refused = sum(tally.refused for tally in tallies)
     assert refused >= 40
@@ -78,9 +78,9 @@
         assert tally.in_time + tally.late >= 0.95 * tally.asked
 
 
-def test_callers_who_return_before_the_group_does_are_served_when_it_is_back() -> None:
+def test_client_retries_during_an_outage_are_served_after_recovery() -> None:
     tallies = [
-        play(CAPACITY * 0.5, "group", trouble="cut", seed=n) for n in range(1, 13)
+        play(CAPACITY * 0.5, "group", failure="cut", seed=n) for n in range(1, 13)
     ]
     refused = sum(tally.refused for tally in tallies)
     assert refused >= 360
--- a/tests/direct/test_pass_meter.py
+++ b/tests/direct/test_pass_meter.py
@@ -1,4 +1,4 @@
-"""What an entry learns of a group's passes from its own streams."""
+"""Measurement of a group's passes on an entry's own streams."""
 
 import pytest
 from direct_builders import build_engine
@@ -20,8 +20,8 @@
     )
 
 
-def room(meter: PassMeter, now: float) -> int:
-    """Return how many requests may run by what a meter knows."""
+def concurrency_limit(meter: PassMeter, now: float) -> int:
+    """Return the concurrency limit that follows from a meter."""
     return max_concurrency(RANKS, build_engine(), PAUSE_AIM, meter.request_cost(now))
 
 
@@ -29,15 +29,15 @@
     meter = build_meter()
     for stream in range(6):
         meter.note_event(1.0, now=1.25 + stream / 1000, running=10)
-    assert room(meter, now=1.3) >= 60
+    assert concurrency_limit(meter, now=1.3) >= 60
 
 
 @pytest.mark.parametrize(("pause", "least", "most"), [(0.06, 72, 72), (0.1, 40, 55)])
-def test_room_follows_the_pauses_of_a_second(
+def test_concurrency_limit_follows_the_pauses(
     pause: float, least: int, most: int
 ) -> None:
     meter = build_meter()
     for event in range(400):
         now = 1.0 + event * 0.01
         meter.note_event(now - pause, now, running=50)
-    assert least <= room(meter, now=5.0) <= most
+    assert least <= concurrency_limit(meter, now=5.0) <= most
--- a/tests/direct/test_running_reports.py
+++ b/tests/direct/test_running_reports.py
@@ -1,4 +1,4 @@
-"""Entries know what all of them have running, however many they are."""
+"""Every entry knows the running requests of all, whatever the number of entries."""
 
 import anyio
 import pytest
@@ -13,7 +13,7 @@
 
 
 def running_total(world: DirectWorld, name: str) -> int:
-    """Return how many streams an entry takes to be running over all entries."""
+    """Return the number of running streams of all entries, as known to one entry."""
     entry = world.entries[name]
     now = anyio.current_time()
     states = entry.book.of_service(MODEL, now)
@@ -43,16 +43,16 @@
     in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:centres])
 
 
-def test_only_collectors_follow_more_than_one_however_many_entries_there_are() -> None:
+def test_only_collectors_have_more_than_one_subscription() -> None:
     names = tuple(f"entry-{n}" for n in range(99))
 
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(2)
-        held = sorted(
+        stream_counts = sorted(
             len(entry.running_watcher.subscriptions) for entry in world.entries.values()
         )
-        assert held[: 99 - len(CENTRES)] == [1] * (99 - len(CENTRES))
-        assert max(held) <= 24 + len(CENTRES)
+        assert stream_counts[: 99 - len(CENTRES)] == [1] * (99 - len(CENTRES))
+        assert max(stream_counts) <= 24 + len(CENTRES)
 
     in_direct_world(scenario, names, data_centres=CENTRES)
 
@@ -97,26 +97,33 @@
             await anyio.sleep(1)
             assert {running_total(world, name) for name in others} == {12}
             world.kill_entry(collector)
-            short: set[str] = set()
+            undercounting: set[str] = set()
             for _ in range(30):
                 await anyio.sleep(0.1)
-                short |= {one for one in others if running_total(world, one) < 12}
+                undercounting |= {
+                    one for one in others if running_total(world, one) < 12
+                }
             assert {running_total(world, name) for name in others} == {12}
-            assert len(short) <= 1, "only the one that takes its place starts anew"
+            assert len(undercounting) <= 1, (
+                "only the replacement collector starts with an empty count"
+            )
             tasks.cancel_scope.cancel()
 
     in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:2])
 
 
-def test_board_adds_up_what_changes_and_forgets_who_falls_silent() -> None:
-    board = PeerReports()
-    board.put("entry-2", RunningReport({"t": 3, "u": 1}), now=1.0)
-    board.put("entry-3", RunningReport({"t": 2}), now=1.2)
-    board.put("entry-2", RunningReport({"t": 1}), now=1.4)
-    assert (board.running_elsewhere("t", 1.5), board.running_elsewhere("u", 1.5)) == (
+def test_sums_follow_changed_reports_and_drop_silent_entries() -> None:
+    reports = PeerReports()
+    reports.put("entry-2", RunningReport({"t": 3, "u": 1}), now=1.0)
+    reports.put("entry-3", RunningReport({"t": 2}), now=1.2)
+    reports.put("entry-2", RunningReport({"t": 1}), now=1.4)
+    assert (
+        reports.running_elsewhere("t", 1.5),
+        reports.running_elsewhere("u", 1.5),
+    ) == (
         3,
         0,
     )
-    assert board.running_elsewhere("t", 2.8) == 1
-    board.drop("entry-2")
-    assert board.running_elsewhere("t", 2.8) == 0
+    assert reports.running_elsewhere("t", 2.8) == 1
+    reports.drop("entry-2")
+    assert reports.running_elsewhere("t", 2.8) == 0
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -1,4 +1,4 @@
-"""A service of several groups serves as long as one of them does."""
+"""A service with several groups is available as long as one of them serves."""
 
 from dataclasses import replace
 
@@ -16,13 +16,13 @@
 from briarthread_standins.play_load import list_groups, play_load
 
 SIZE = {"x-token-count": "100,30"}
-WHOLE = [1, 2, 3, 4, 5, 6]
+EVENT_IDS = [1, 2, 3, 4, 5, 6]
 RANKS = 6
 FIRST, SECOND = GroupId(MODEL, "g-0"), GroupId(MODEL, "g-1")
 
 
 def in_two_groups(scenario: object) -> None:
-    """Run a scenario with six ranks that are in two groups in turn."""
+    """Run a scenario with six ranks that are assigned to two groups in turn."""
 
     async def grouped(world: DirectWorld) -> None:
         await list_groups(world, 2, RANKS)
@@ -37,34 +37,34 @@
 
 
 def break_group(world: DirectWorld, first: int) -> None:
-    """Have every second rank refuse for its group."""
+    """Let every second rank, from ``first`` on, refuse requests for its group."""
     for number in range(first, RANKS, 2):
         world.workers[f"rank-{number}"].faults = [WorkerFault.GROUP_BROKEN] * 50
 
 
-def seen(world: DirectWorld, first: int) -> int:
-    """Return how many requests the ranks of a group got."""
+def received_requests(world: DirectWorld, first: int) -> int:
+    """Return the number of requests that the ranks of a group received."""
     return sum(len(world.workers[f"rank-{n}"].seen) for n in range(first, RANKS, 2))
 
 
-def test_request_that_a_broken_group_refused_goes_on_in_the_other_at_once() -> None:
+def test_request_refused_by_a_broken_group_continues_in_the_other_at_once() -> None:
     async def scenario(world: DirectWorld) -> None:
         break_group(world, 0)
         replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(12)]
         assert [reply.status for reply in replies] == [200] * 12
-        assert all(reply.event_ids == WHOLE for reply in replies)
-        assert seen(world, 0) <= 2
+        assert all(reply.event_ids == EVENT_IDS for reply in replies)
+        assert received_requests(world, 0) <= 2
 
     in_two_groups(scenario)
 
 
-def test_agents_word_on_one_group_closes_that_one_only() -> None:
+def test_report_on_one_group_closes_only_that_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
         entry_of(world).group_reports.put(FIRST, GroupReport(False, group="g-0"), now)
         replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(2)]
         assert [reply.status for reply in replies] == [200] * 2
-        assert (seen(world, 0), seen(world, 1)) == (0, 2)
+        assert (received_requests(world, 0), received_requests(world, 1)) == (0, 2)
 
     in_two_groups(scenario)
 
@@ -78,17 +78,17 @@
         assert {reply.status for reply in replies} == {503}
         assert {r.headers["briarthread-outcome"] for r in replies} == {"not-run"}
         assert anyio.current_time() - started < 0.3
-        assert (seen(world, 0), seen(world, 1)) == (1, 1)
+        assert (received_requests(world, 0), received_requests(world, 1)) == (1, 1)
 
     in_two_groups(scenario)
 
 
-def test_stream_that_is_cut_goes_on_in_the_other_group() -> None:
+def test_interrupted_stream_continues_in_the_other_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         for number in range(0, RANKS, 2):
             world.workers[f"rank-{number}"].faults = [WorkerFault.CUT_EVENT] * 50
         replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(8)]
-        assert [reply.event_ids for reply in replies] == [WHOLE] * 8
+        assert [reply.event_ids for reply in replies] == [EVENT_IDS] * 8
         resumed = {
             name
             for name, worker in world.workers.items()
@@ -100,7 +100,7 @@
     in_two_groups(scenario)
 
 
-def test_pause_before_a_stream_goes_on_elsewhere_is_no_pass_there() -> None:
+def test_pause_before_a_stream_continues_elsewhere_is_not_a_pass() -> None:
     async def scenario(world: DirectWorld) -> None:
         cut = world.workers["rank-0"]
         cut.faults, cut.cut_after = [WorkerFault.CUT_EVENT] * 50, 1
@@ -114,19 +114,22 @@
     in_two_groups(scenario)
 
 
-def test_room_is_that_of_the_groups_that_serve() -> None:
+def test_capacity_is_that_of_the_serving_groups() -> None:
     async def scenario(world: DirectWorld) -> None:
-        rooms, request = entry_of(world).capacity, build_direct_request()
+        capacity, request = entry_of(world).capacity, build_direct_request()
         now = anyio.current_time()
-        both = combined_capacity(rooms.capacities(request, now)).limit
-        rooms.note_refused(FIRST, "10.9.9.9:1")
-        assert combined_capacity(rooms.capacities(request, now)).limit == both / 2
-        assert rooms.open_groups(request, now) == {SECOND}
+        both_limits = combined_capacity(capacity.capacities(request, now)).limit
+        capacity.note_refused(FIRST, "10.9.9.9:1")
+        assert (
+            combined_capacity(capacity.capacities(request, now)).limit
+            == both_limits / 2
+        )
+        assert capacity.open_groups(request, now) == {SECOND}
 
     in_two_groups(scenario)
 
 
-def test_slow_group_is_used_by_its_own_measure() -> None:
+def test_rank_is_slow_only_relative_to_its_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         hosts = [world.addresses[f"rank-{n}"].rpartition(":")[0] for n in (0, 2, 4)]
         entry = entry_of(world)
@@ -134,8 +137,8 @@
         report = GroupReport(True, dict.fromkeys(hosts, 3.0), "g-0")
         entry.group_reports.put(FIRST, report, now)
         assert len(entry.slow_ranks.usable(MODEL, now)) == RANKS
-        one = GroupReport(True, {hosts[0]: 3.0}, "g-0")
-        entry.group_reports.put(FIRST, one, now)
+        one_slow_rank = GroupReport(True, {hosts[0]: 3.0}, "g-0")
+        entry.group_reports.put(FIRST, one_slow_rank, now)
         names = {s.target.name for s in entry.slow_ranks.usable(MODEL, now)}
         assert names == {f"rank-{n}" for n in range(1, RANKS)}
 
@@ -158,7 +161,7 @@
     in_two_groups(scenario)
 
 
-def test_rank_that_no_agent_speaks_for_belongs_to_the_only_group() -> None:
+def test_rank_without_a_listed_group_belongs_to_the_only_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         entry = entry_of(world)
         target = entry.book.states["rank-4"].target
@@ -174,9 +177,9 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_callers_hardly_notice_that_one_of_two_groups_is_away(seed: int) -> None:
+def test_outage_of_one_of_two_groups_hardly_affects_callers(seed: int) -> None:
     day = LoadDay(12.0, ranks=12, groups=2, outage_seconds=5.0, seed=seed)
-    tally, as_one = play_load(day), play_load(replace(day, told=False))
+    tally, not_told_tally = play_load(day), play_load(replace(day, told=False))
     assert tally.in_time >= 0.95 * tally.asked
     assert tally.refused_twice == 0
-    assert tally.worth > as_one.worth + 0.1
+    assert tally.worth > not_told_tally.worth + 0.1
--- a/tests/direct/test_stops.py
+++ b/tests/direct/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops lose no request, and killed entries are soon back."""
+"""Planned stops lose no request, and killed entries soon serve again."""
 
 import anyio
 import pytest
@@ -8,11 +8,11 @@
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SIZE = {"x-token-count": "100,30"}
-WHOLE = [1, 2, 3, 4, 5, 6]
+EVENT_IDS = [1, 2, 3, 4, 5, 6]
 
 
 async def stop(world: DirectWorld, name: str) -> None:
-    """Stop an entry as SIGTERM does, and close it once it may go."""
+    """Stop an entry as on SIGTERM, and close it after its drain time-out."""
     entry = world.entries[name]
     await entry.drain()
     await anyio.sleep(entry.settings.drain_timeout)
@@ -36,13 +36,13 @@
                 tasks.start_soon(ask, "/chat/1")
                 await anyio.sleep(0.12)
         assert [reply.status for reply in replies] == [200] * 9
-        assert [reply.event_ids for reply in replies] == [WHOLE] * 9
+        assert [reply.event_ids for reply in replies] == [EVENT_IDS] * 9
         assert all(reply.whole for reply in replies)
 
     in_direct_world(scenario, entries=ENTRIES)
 
 
-def test_entries_that_were_all_killed_serve_again_at_once() -> None:
+def test_entries_serve_at_once_after_all_were_killed() -> None:
     async def scenario(world: DirectWorld) -> None:
         for name in ENTRIES:
             world.kill_entry(name)
@@ -51,7 +51,7 @@
             world.add_entry(name)
         await anyio.sleep(1)
         for name in ENTRIES:
-            assert (await world.ask(name, "/chat/1", SIZE)).event_ids == WHOLE
+            assert (await world.ask(name, "/chat/1", SIZE)).event_ids == EVENT_IDS
             assert (await world.ask(name, "/book/1")).status == 200
 
     in_direct_world(scenario, entries=ENTRIES)
--- a/tests/direct/test_streams.py
+++ b/tests/direct/test_streams.py
@@ -1,4 +1,4 @@
-"""A caller gets each event of its stream once and in order, or a broken answer."""
+"""A caller gets each event of its stream once and in order, or a broken response."""
 
 import anyio
 import pytest
@@ -8,25 +8,29 @@
 from briarthread_standins.direct_world import DirectWorld
 
 SIZE = {"x-token-count": "100,30"}
-WHOLE = [1, 2, 3, 4, 5, 6]
+EVENT_IDS = [1, 2, 3, 4, 5, 6]
 
 
 def test_stream_is_whole_and_complete() -> None:
     async def scenario(world: DirectWorld) -> None:
         reply = await world.ask("entry-1", "/chat/1", SIZE)
-        assert (reply.status, reply.event_ids, reply.whole) == (200, WHOLE, True)
+        assert (reply.status, reply.event_ids, reply.whole) == (
+            200,
+            EVENT_IDS,
+            True,
+        )
         assert reply.headers["x-server-stamp"] == "stamp"
 
     in_direct_world(scenario)
 
 
-def test_broken_stream_goes_on_at_another_rank_in_the_same_answer() -> None:
+def test_interrupted_stream_continues_at_another_rank_in_the_same_response() -> None:
     async def scenario(world: DirectWorld) -> None:
         replies = []
         for _ in range(12):
             world.workers["rank-0"].faults = [WorkerFault.CUT_EVENT]
             replies.append(await world.ask("entry-1", "/chat/1", SIZE))
-        assert [reply.event_ids for reply in replies] == [WHOLE] * 12
+        assert [reply.event_ids for reply in replies] == [EVENT_IDS] * 12
         assert all(reply.whole for reply in replies)
         resumed = [
             seen["last-event-id"]
@@ -98,7 +102,7 @@
     in_direct_world(scenario)
 
 
-def test_group_that_forms_again_is_found_by_a_probe() -> None:
+def test_group_that_is_formed_again_is_detected_by_a_probe() -> None:
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
             worker.faults = [WorkerFault.GROUP_BROKEN]
@@ -113,7 +117,7 @@
 
 
 @pytest.mark.parametrize("leaves_after", [0.03, 0.15, 0.25])
-def test_caller_who_leaves_its_stream_ends_the_work(leaves_after: float) -> None:
+def test_caller_that_disconnects_ends_the_work(leaves_after: float) -> None:
     async def scenario(world: DirectWorld) -> None:
         await world.ask("entry-1", "/chat/1", SIZE, give_up=leaves_after)
         await anyio.sleep(0.3)
@@ -130,7 +134,7 @@
         for _ in range(12):
             world.workers["rank-0"].faults = [WorkerFault.CUT_EVENT]
             reply = await world.ask("entry-1", "/chat/1", SIZE)
-            assert (reply.event_ids, reply.whole) == (WHOLE, True)
+            assert (reply.event_ids, reply.whole) == (EVENT_IDS, True)
         assert any(
             "last-event-id" in seen
             for worker in world.workers.values()
