--- a/packages/entry/src/briarthread_entry/direct/attempt_notes.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_notes.py
@@ -96,7 +96,9 @@
                 self.crashes.note_alive(name, began)
             case ProvedNotRun(written=True, replaced=False, faulty=""):
                 self.crashes.note_alive(name, began)
-            case MayHaveRun(broken_off=True) if not self.rooms.book.is_leaving(state):
+            case MayHaveRun(broken_off=True) if not self.rooms.registry.is_leaving(
+                state
+            ):
                 in_group = request.service.engine is not None
                 stalled = in_group and now - began > STALL_SECONDS
                 if unanswered and not stalled:
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -74,7 +74,7 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(store_channel, settings.store)
-        self.spreader = FollowingSpreader(
+        self.replicator = FollowingSpreader(
             settings.spread, self.feeds, self.directory, self.store, peer_channel, rng
         )
         self.routes = RouteView(self.feeds.routes, adapter)
@@ -82,16 +82,19 @@
         self.backoffs = TargetBackoffs(self.metrics, rng)
         self.crashes = CrashBook(self._note_crash_decision)
         self.leaving_targets = LeavingTargets()
-        self.book = TargetBook(
-            self.feeds.targets, adapter, self.spreader.well_since, self.leaving_targets
+        self.registry = TargetBook(
+            self.feeds.targets,
+            adapter,
+            self.replicator.well_since,
+            self.leaving_targets,
         )
-        self.book.on_gone = self._forget
+        self.registry.on_gone = self._forget
         self.peer_reports = PeerReports(self.limits, self.crashes, self.leaving_targets)
         self.group_reports = GroupReports()
         self.membership = GroupMembership(self.directory)
-        self.slow_ranks = SlowRanks(self.book, self.membership, self.group_reports)
+        self.slow_ranks = SlowRanks(self.registry, self.membership, self.group_reports)
         self.capacity = GroupCapacityTracker(
-            self.book,
+            self.registry,
             self.peer_reports,
             self.membership,
             self.slow_ranks,
@@ -118,14 +121,14 @@
             settings.name,
             self.directory,
             self.limits,
-            self.book.target,
+            self.registry.target,
             peer_channel,
             self.metrics,
         )
         self.runner = RequestRunner(
             TargetChooser(
                 settings.data_centre,
-                self.book,
+                self.registry,
                 self.peer_reports,
                 self.capacity,
                 self.slow_ranks,
@@ -163,7 +166,7 @@
         self.app = App([Route("*", "/", self.handler.handle)])
         self.peer_app = App(
             [
-                Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
+                Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
                 *self.running_reporter.routes(),
                 *self.tokens.routes(),
                 *self.pages.routes(),
@@ -172,9 +175,9 @@
 
     def start(self, tasks: TaskGroup) -> None:
         """Start the background tasks in a task group."""
-        tasks.start_soon(self.spreader.run)
+        tasks.start_soon(self.replicator.run)
         tasks.start_soon(self.routes.follow)
-        tasks.start_soon(self.book.follow)
+        tasks.start_soon(self.registry.follow)
         tasks.start_soon(self.running_watcher.run)
         tasks.start_soon(self.group_watcher.run)
         tasks.start_soon(self.slow_ranks.run)
@@ -204,12 +207,12 @@
 
     def _forget(self) -> None:
         """Drop the limits and announced shutdowns of removed targets."""
-        self.limits.keep(self.book.states)
-        self.tokens.keep(self.book.states)
-        self.leaving_targets.keep(self.book.states)
+        self.limits.keep(self.registry.states)
+        self.tokens.keep(self.registry.states)
+        self.leaving_targets.keep(self.registry.states)
 
     async def _list_itself(self) -> None:
-        await self.spreader.started.wait()
+        await self.replicator.started.wait()
         row = Instance(
             self.settings.name,
             self.settings.data_centre,
@@ -240,20 +243,20 @@
 
     def _status(self) -> dict[str, object]:
         now = anyio.current_time()
-        self.book.refresh(now)
+        self.registry.refresh(now)
         return {
             "name": self.settings.name,
             "role": "direct entry",
             "versions": self.feeds.versions(),
-            "platform": "up" if self.spreader.platform_up else "down",
+            "platform": "up" if self.replicator.platform_up else "down",
             "targets": {
                 name: {
                     "service": state.target.service,
-                    "leaving": self.book.is_leaving(state),
+                    "leaving": self.registry.is_leaving(state),
                     "running": state.running,
                     "ejected_seconds": max(state.ejected_until - now, 0.0),
                 }
-                for name, state in self.book.states.items()
+                for name, state in self.registry.states.items()
             },
             "limits": {
                 name: known.per_second
--- a/packages/entry/src/briarthread_entry/direct/group_admission.py
+++ b/packages/entry/src/briarthread_entry/direct/group_admission.py
@@ -29,7 +29,7 @@
 """Interval at which a waiting request checks for capacity, a fraction of a pass."""
 MAX_WAIT_SECONDS = 0.2
 """Longest wait for capacity: after a longer wait the first event would miss the route's
-aim even if capacity became free."""
+SLO even if capacity became free."""
 MAX_CLIENT_RETRY_WAIT_SECONDS = 1.8
 """Longest wait of a client retry. It is late already, so that only the caller's timeout
 limits it: callers abandon a stream after two seconds without an event."""
@@ -63,7 +63,7 @@
         return RunningReport(
             {
                 name: state.running
-                for name, state in self.capacity.book.states.items()
+                for name, state in self.capacity.registry.states.items()
                 if state.running
             },
             request_costs,
@@ -152,7 +152,7 @@
         return max(request.arrived + max_wait, recovered_at + MAX_WAIT_SECONDS)
 
     def _max_wait(self, request: DirectRequest) -> float:
-        """Return the seconds that a request may wait and still meet the route's aim."""
+        """Return the seconds that a request may wait and still meet the route's SLO."""
         now = anyio.current_time()
         pass_seconds = self.capacity.shortest_pass(request.service, now) or 0.0
         first_event_seconds = PASSES_TO_FIRST_EVENT * pass_seconds
--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -49,14 +49,14 @@
 
     def __init__(
         self,
-        book: TargetBook,
+        registry: TargetBook,
         peer_reports: PeerReports,
         membership: GroupMembership,
         slow_ranks: SlowRanks,
         limits: TargetLimits,
         backoffs: TargetBackoffs,
     ) -> None:
-        self.book = book
+        self.registry = registry
         self.peer_reports = peer_reports
         self.membership = membership
         self.slow_ranks = slow_ranks
@@ -181,7 +181,7 @@
     def _ranks(self, group: GroupId, now: float) -> list[DirectTargetState]:
         return [
             state
-            for state in self.book.of_service(group.service, now)
+            for state in self.registry.of_service(group.service, now)
             if self.membership.group_of(state.target) == group
         ]
 
--- a/packages/measure/src/briarthread_measure/left_out.py
+++ b/packages/measure/src/briarthread_measure/left_out.py
@@ -57,7 +57,7 @@
     """Let an entry run its part of a fixed number of streams."""
 
     async def enter(request: DirectRequest) -> None:
-        running = sum(state.running for state in entry.book.states.values())
+        running = sum(state.running for state in entry.registry.states.values())
         if running >= FIXED_STREAMS // len(ENTRIES):
             raise RequestError(ErrorKind.OVERLOADED, "full", retry_after=1.0)
 
--- a/tests/direct/test_configuration.py
+++ b/tests/direct/test_configuration.py
@@ -197,12 +197,12 @@
     in_direct_world(scenario, ENTRIES)
 
 
-def test_followers_rejected_by_the_platform_delay_no_entry() -> None:
+def test_pollers_rejected_by_the_platform_delay_no_entry() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        followers = world.entries["entry-1"].spreader.poll_duty.names()
+        pollers = world.entries["entry-1"].replicator.poll_duty.names()
         world.store.turned_away = {
-            world.entries[name].settings.listen for name in followers
+            world.entries[name].settings.listen for name in pollers
         }
         world.store.put("op", "config", new_config(2))
         await anyio.sleep(IN_FORCE_SECONDS)
@@ -211,17 +211,17 @@
     in_direct_world(scenario, ENTRIES)
 
 
-def test_followers_that_die_are_replaced_in_time() -> None:
+def test_pollers_that_die_are_replaced_in_time() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        followers = world.entries["entry-1"].spreader.poll_duty.names()
-        for name in followers:
+        pollers = world.entries["entry-1"].replicator.poll_duty.names()
+        for name in pollers:
             entry = world.entries[name]
             world.network.freeze(entry.settings.listen, True)
         await anyio.sleep(3)
         world.store.put("op", "config", new_config(2))
         await anyio.sleep(IN_FORCE_SECONDS)
-        for name in set(world.entries) - set(followers):
+        for name in set(world.entries) - set(pollers):
             assert (await world.ask(name, "/v2/1")).status == 200
 
     in_direct_world(scenario, ENTRIES)
--- a/tests/direct/test_running_reports.py
+++ b/tests/direct/test_running_reports.py
@@ -16,7 +16,7 @@
     """Return the number of running streams of all entries, as known to one entry."""
     entry = world.entries[name]
     now = anyio.current_time()
-    states = entry.book.of_service(MODEL, now)
+    states = entry.registry.of_service(MODEL, now)
     return sum(
         s.running + entry.peer_reports.running_elsewhere(s.target.name, now)
         for s in states
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -148,7 +148,7 @@
 def test_rank_that_changes_its_group_is_followed() -> None:
     async def scenario(world: DirectWorld) -> None:
         entry = entry_of(world)
-        target = entry.book.states["rank-0"].target
+        target = entry.registry.states["rank-0"].target
         assert entry.membership.group_of(target) == FIRST
         row = entry.directory.all()["side-0"]
         moved = type(row)(
@@ -164,7 +164,7 @@
 def test_rank_without_a_listed_group_belongs_to_the_only_group() -> None:
     async def scenario(world: DirectWorld) -> None:
         entry = entry_of(world)
-        target = entry.book.states["rank-4"].target
+        target = entry.registry.states["rank-4"].target
         assert entry.membership.group_of(target) == GroupId(MODEL)
         await list_groups(world, groups=1, ranks=2)
         await anyio.sleep(2)
--- a/tests/direct/test_target_backoffs.py
+++ b/tests/direct/test_target_backoffs.py
@@ -111,8 +111,8 @@
             await world.ask("entry-1", "/list/1", method="GET", body=None)
             await world.ask("entry-1", "/chat/1", {"x-token-count": "800,100"})
         entry = world.entries["entry-1"]
-        assert all(state.failures == 0 for state in entry.book.states.values())
-        assert all(state.ejections == 0 for state in entry.book.states.values())
+        assert all(state.failures == 0 for state in entry.registry.states.values())
+        assert all(state.ejections == 0 for state in entry.registry.states.values())
         assert not any(health.broken for health in entry.capacity.healths.values())
 
     in_direct_world(scenario)
