--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -88,7 +88,7 @@
             self.replicator.well_since,
             self.leaving_targets,
         )
-        self.registry.on_gone = self._forget
+        self.registry.on_gone = self._discard_removed_targets
         self.peer_reports = PeerReports(self.limits, self.crashes, self.leaving_targets)
         self.group_reports = GroupReports()
         self.membership = GroupMembership(self.directory)
@@ -181,7 +181,7 @@
         tasks.start_soon(self.running_watcher.run)
         tasks.start_soon(self.group_watcher.run)
         tasks.start_soon(self.slow_ranks.run)
-        tasks.start_soon(self._list_itself)
+        tasks.start_soon(self._ensure_registered)
 
     def apply(self, settings: DirectSettings) -> None:
         """Apply reloaded settings; addresses change only on a restart."""
@@ -205,13 +205,13 @@
             return "no targets known yet"
         return ""
 
-    def _forget(self) -> None:
+    def _discard_removed_targets(self) -> None:
         """Drop the limits and announced shutdowns of removed targets."""
         self.limits.keep(self.registry.states)
         self.tokens.keep(self.registry.states)
         self.leaving_targets.keep(self.registry.states)
 
-    async def _list_itself(self) -> None:
+    async def _ensure_registered(self) -> None:
         await self.replicator.started.wait()
         row = Instance(
             self.settings.name,
@@ -225,13 +225,17 @@
         """Return the running report for the other entries."""
         report = self.admission.report()
         now = anyio.current_time()
-        words, crashes = self.limits.words(now), self.crashes.words(now)
+        limit_reports, crashes = self.limits.words(now), self.crashes.words(now)
         leaving = self.leaving_targets.own_names()
         backoffs = self.backoffs.seconds_left(now)
-        if not words and not crashes and not leaving and not backoffs:
+        if not limit_reports and not crashes and not leaving and not backoffs:
             return report
         return replace(
-            report, limits=words, crashes=crashes, leaving=leaving, backoffs=backoffs
+            report,
+            limits=limit_reports,
+            crashes=crashes,
+            leaving=leaving,
+            backoffs=backoffs,
         )
 
     def _note_crash_decision(self, decision: str, digest: str, reason: str) -> None:
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -60,7 +60,7 @@
         account = self._account(headers, route, routes)
         body = await self._read_body(call, headers, routes)
         service = routes.services[self._choose_service(route)]
-        prompt, answer = _parse_size(headers.get(self.names.size, ""))
+        prompt_tokens, answer_tokens = _parse_size(headers.get(self.names.size, ""))
         caller_timeout = self._caller_timeout(headers)
         timeout = route.timeout
         priority = route.priority if account.priority is None else account.priority
@@ -78,8 +78,8 @@
             deadline=arrived
             + (timeout if caller_timeout is None else min(caller_timeout, timeout)),
             caller_timeout=caller_timeout,
-            prompt_tokens=prompt,
-            answer_tokens=answer,
+            prompt_tokens=prompt_tokens,
+            answer_tokens=answer_tokens,
             last_event_id=_parse_event_id(headers.get(self.names.resume_from)),
             digest=request_digest(account.name, call.method, call.raw_target, body),
         )
@@ -141,8 +141,8 @@
     >>> _parse_size("1460,80"), _parse_size("")
     ((1460, 80), (0, 0))
     """
-    prompt, _, answer = raw.partition(",")
-    return _parse_number(prompt), _parse_number(answer)
+    prompt_tokens, _, answer_tokens = raw.partition(",")
+    return _parse_number(prompt_tokens), _parse_number(answer_tokens)
 
 
 def _parse_number(raw: str) -> int:
