--- /dev/null
+++ b/packages/agent/src/briarthread_agent/shares/__init__.py
@@ -0,0 +1,1 @@
+"""Shares of idempotency keys that the agent holds."""
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -9,17 +9,17 @@
     RequestError,
     SpoiltAnswerError,
 )
-from briarthread_common.direct.answer_notice import read_notice
 from briarthread_common.direct.call_kind import CallKind
 from briarthread_common.direct.header_names import HeaderNames
+from briarthread_common.direct.response_signals import read_response_signals
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
 from briarthread_common.http.channel_calls import read_bounded
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    MayHaveRun,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    OutcomeUnknown,
+    StreamRelayed,
+    TargetResponse,
 )
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.event_reader import EventReader
@@ -70,14 +70,12 @@
                     self._record_head(state, response, sent_at)
                     return await self._read(request, response, relay)
         except NotWrittenError as error:
-            return ProvedNotRun(
-                _request_error(ErrorKind.NO_TARGET, error), written=False
-            )
+            return NotRun(_request_error(ErrorKind.NO_TARGET, error), written=False)
         except SpoiltAnswerError as error:
-            return MayHaveRun(_request_error(ErrorKind.TARGET_FAILED, error))
+            return OutcomeUnknown(_request_error(ErrorKind.TARGET_FAILED, error))
         except ChannelError as error:
-            return MayHaveRun(
-                _request_error(ErrorKind.TARGET_FAILED, error), broken_off=True
+            return OutcomeUnknown(
+                _request_error(ErrorKind.TARGET_FAILED, error), connection_lost=True
             )
 
     async def _read(
@@ -87,22 +85,22 @@
         headers = response.headers
         if names.not_run in headers or response.status == MISDIRECTED_REQUEST:
             await read_bounded(response.body, MAX_RESPONSE_BYTES)
-            faulty = headers.get(names.faulty_target, "")
-            kind = ErrorKind.GROUP_BROKEN if faulty else ErrorKind.OVERLOADED
-            return ProvedNotRun(
+            faulty_rank = headers.get(names.faulty_target, "")
+            kind = ErrorKind.GROUP_BROKEN if faulty_rank else ErrorKind.OVERLOADED
+            return NotRun(
                 RequestError(
-                    kind, f"target refused the request: {response.status} {faulty}"
+                    kind, f"target refused the request: {response.status} {faulty_rank}"
                 ),
                 replaced=response.status == MISDIRECTED_REQUEST,
-                faulty=faulty,
+                faulty_rank=faulty_rank,
             )
         self._check_response(response)
         forwarded = tuple(f for f in response.fields if f[0] not in DROPPED_HEADERS)
         if request.route.kind is CallKind.STREAM and response.status == STREAM_STATUS:
             await self._relay_stream(response, forwarded, relay)
-            return StreamPassedOn(relay.first_at, relay.longest_pause)
+            return StreamRelayed(relay.first_event_at, relay.longest_pause)
         body = await read_bounded(response.body, MAX_RESPONSE_BYTES)
-        return TargetAnswer(response.status, forwarded, body)
+        return TargetResponse(response.status, forwarded, body)
 
     def _check_request_id(
         self, request: DirectRequest, response: ChannelResponse
@@ -122,21 +120,21 @@
         name = state.target.name
         now = anyio.current_time()
         limit_values = [
-            raw for field, raw in response.fields if field == self.names.limit
+            raw for field, raw in response.fields if field == self.names.rate_limit
         ]
-        self.limits.note_answer(
+        self.limits.note_response(
             name, ",".join(limit_values) if limit_values else None, sent_at, now
         )
-        notice = read_notice(response, self.names.leaving)
-        self.backoffs.note_answer(name, notice, now)
-        if notice.leaving:
+        signals = read_response_signals(response, self.names.leaving)
+        self.backoffs.note_response(name, signals, now)
+        if signals.leaving:
             self.leaving_targets.note_leaving(name)
 
     def _check_response(self, response: ChannelResponse) -> None:
         """Raise SpoiltAnswerError for a success that the target did not produce."""
         if response.status >= 300:
             return
-        if self.names.signature not in response.headers:
+        if self.names.target_stamp not in response.headers:
             raise SpoiltAnswerError("success response without the target's signature")
         if response.headers.get("content-encoding", "identity") != "identity":
             raise SpoiltAnswerError("response has an unrequested content encoding")
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -19,18 +19,18 @@
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
-from briarthread_common.spread.following_spreader import FollowingSpreader
-from briarthread_common.spread.list_itself import list_itself
-from briarthread_common.spread.spreader import EXCHANGE_PATH
+from briarthread_common.spread.ensure_registered import ensure_registered
+from briarthread_common.spread.feed_replicator import EXCHANGE_PATH
+from briarthread_common.spread.long_poll_replicator import LongPollReplicator
 from briarthread_common.utils.clock import Clock
+from briarthread_entry.direct.assigned_slots import AssignedSlots
 from briarthread_entry.direct.attempt_sender import AttemptSender
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.group_admission import GroupAdmission
 from briarthread_entry.direct.group_capacity import GroupCapacityTracker
 from briarthread_entry.direct.group_membership import GroupMembership
 from briarthread_entry.direct.group_reports import GroupReports
 from briarthread_entry.direct.group_watcher import GroupWatcher
-from briarthread_entry.direct.home_slots import HomeSlots
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.limit_tokens import LimitTokens
 from briarthread_entry.direct.peer_reports import PeerReports
@@ -43,9 +43,9 @@
 from briarthread_entry.direct.shared_retry_budget import SharedRetryBudget
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
-from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_chooser import TargetChooser
 from briarthread_entry.direct.target_limits import TargetLimits
+from briarthread_entry.direct.target_registry import TargetRegistry
 
 
 class DirectEntry:
@@ -74,21 +74,26 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(store_channel, settings.store)
-        self.replicator = FollowingSpreader(
-            settings.spread, self.feeds, self.directory, self.store, peer_channel, rng
+        self.replicator = LongPollReplicator(
+            settings.spread,
+            self.feeds,
+            self.directory,
+            self.store,
+            peer_channel,
+            rng,
         )
         self.routes = RouteView(self.feeds.routes, adapter)
         self.limits = TargetLimits()
         self.backoffs = TargetBackoffs(self.metrics, rng)
-        self.crashes = CrashBook(self._note_crash_decision)
+        self.crashes = CrashTracker(self._note_crash_decision)
         self.leaving_targets = LeavingTargets()
-        self.registry = TargetBook(
+        self.registry = TargetRegistry(
             self.feeds.targets,
             adapter,
-            self.replicator.well_since,
+            self.replicator.healthy_since,
             self.leaving_targets,
         )
-        self.registry.on_gone = self._discard_removed_targets
+        self.registry.on_removed = self._discard_removed_targets
         self.peer_reports = PeerReports(self.limits, self.crashes, self.leaving_targets)
         self.group_reports = GroupReports()
         self.membership = GroupMembership(self.directory)
@@ -121,7 +126,7 @@
             settings.name,
             self.directory,
             self.limits,
-            self.registry.target,
+            self.registry.find,
             peer_channel,
             self.metrics,
         )
@@ -132,7 +137,7 @@
                 self.peer_reports,
                 self.capacity,
                 self.slow_ranks,
-                HomeSlots(settings.name, self.directory),
+                AssignedSlots(settings.name, self.directory),
                 self.tokens,
                 self.backoffs,
                 self.crashes,
@@ -207,9 +212,9 @@
 
     def _discard_removed_targets(self) -> None:
         """Drop the limits and announced shutdowns of removed targets."""
-        self.limits.keep(self.registry.states)
-        self.tokens.keep(self.registry.states)
-        self.leaving_targets.keep(self.registry.states)
+        self.limits.retain(self.registry.states)
+        self.tokens.retain(self.registry.states)
+        self.leaving_targets.retain(self.registry.states)
 
     async def _ensure_registered(self) -> None:
         await self.replicator.started.wait()
@@ -219,13 +224,13 @@
             self.settings.listen,
             InstanceRole.ENTRY,
         )
-        await list_itself(row, self.directory, self.store)
+        await ensure_registered(row, self.directory, self.store)
 
     def _report(self) -> RunningReport:
         """Return the running report for the other entries."""
         report = self.admission.report()
         now = anyio.current_time()
-        limit_reports, crashes = self.limits.words(now), self.crashes.words(now)
+        limit_reports, crashes = self.limits.report(now), self.crashes.report(now)
         leaving = self.leaving_targets.own_names()
         backoffs = self.backoffs.seconds_left(now)
         if not limit_reports and not crashes and not leaving and not backoffs:
@@ -268,7 +273,7 @@
                 if known.per_second is not None
             },
             "backoff_seconds": self.backoffs.seconds_left(now),
-            "shut_out": sorted(self.crashes.out),
+            "shut_out": sorted(self.crashes.blocked),
             "groups": {
                 str(group): {"serving": not health.broken}
                 for group, health in self.capacity.healths.items()
--- a/packages/entry/src/briarthread_entry/direct/final_error.py
+++ b/packages/entry/src/briarthread_entry/direct/final_error.py
@@ -11,9 +11,9 @@
 )
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    MayHaveRun,
-    ProvedNotRun,
+    NotRun,
+    OutcomeUnknown,
+    RankTooSlow,
 )
 from briarthread_entry.direct.targets_closed import TargetsClosed
 
@@ -34,14 +34,14 @@
     ``jitter``, from 0 to 1, spreads the client retries. ``closed`` is set if none of
     the remaining targets accepts a request.
 
-    >>> failed = MayHaveRun(RequestError(ErrorKind.TARGET_FAILED, "reset"))
-    >>> refused = ProvedNotRun(RequestError(ErrorKind.OVERLOADED, "full"))
+    >>> failed = OutcomeUnknown(RequestError(ErrorKind.TARGET_FAILED, "reset"))
+    >>> refused = NotRun(RequestError(ErrorKind.OVERLOADED, "full"))
     >>> final_error([refused], 6.0, 1.0).retry_after
     2.0
     >>> final_error([failed, refused], 6.0, 1.0).outcome
     <Outcome.UNKNOWN: 'unknown'>
     """
-    none_ran = all(isinstance(failure, ProvedNotRun) for failure in failures)
+    none_ran = all(isinstance(failure, NotRun) for failure in failures)
     if closed is not None and none_ran:
         pause = retry_after_backoff(caller_time_left, closed.opens_in, jitter)
         return RequestError(closed.kind, str(closed), retry_after=pause)
@@ -51,7 +51,7 @@
             ErrorKind.NO_TARGET, "no target is listed", retry_after=pause
         )
     last = failures[-1]
-    if isinstance(last, ProvedNotRun) and none_ran:
+    if isinstance(last, NotRun) and none_ran:
         pause = retry_after_refusal(last.error.kind, caller_time_left, jitter)
         return RequestError(last.error.kind, last.error.detail, retry_after=pause)
     return RequestError(
@@ -62,9 +62,9 @@
 def retry_reason(outcome: DirectOutcome) -> str:
     """Return the reason under which a retry after an outcome is counted."""
     match outcome:
-        case ProvedNotRun(error=error) | MayHaveRun(error=error):
+        case NotRun(error=error) | OutcomeUnknown(error=error):
             return str(error.kind)
-        case LeftSlowRank():
+        case RankTooSlow():
             return SLOW_RANK
         case _:
             return str(ErrorKind.TARGET_FAILED)
@@ -72,9 +72,9 @@
 
 def _describe(outcome: DirectOutcome) -> str:
     match outcome:
-        case ProvedNotRun(error=error) | MayHaveRun(error=error):
+        case NotRun(error=error) | OutcomeUnknown(error=error):
             return error.detail
-        case LeftSlowRank():
+        case RankTooSlow():
             return "no other rank continued the stream of a slow rank"
         case _:
             return "the target responded with a failure"
--- a/packages/entry/src/briarthread_entry/direct/group_admission.py
+++ b/packages/entry/src/briarthread_entry/direct/group_admission.py
@@ -15,6 +15,7 @@
     Start,
     decide_admission,
 )
+from briarthread_entry.direct.client_retry_detector import ClientRetryDetector
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.group_capacity import (
     GroupCapacities,
@@ -22,7 +23,6 @@
     combined_capacity,
     groups_with_capacity,
 )
-from briarthread_entry.direct.return_detector import ReturnDetector
 from briarthread_entry.direct.waiting_place import WaitingPlace
 
 POLL_INTERVAL_SECONDS = 0.02
@@ -49,7 +49,7 @@
     def __init__(self, capacity: GroupCapacityTracker, rng: random.Random) -> None:
         self.capacity = capacity
         self.rng = rng
-        self.retry_detector = ReturnDetector()
+        self.retry_detector = ClientRetryDetector()
         self.queue: list[WaitingPlace] = []
 
     def report(self) -> RunningReport:
@@ -75,7 +75,7 @@
 
         Raise RequestError if the request is refused.
         """
-        is_client_retry = self.retry_detector.is_return(
+        is_client_retry = self.retry_detector.is_client_retry(
             request.route.name, request.caller_timeout
         )
         place = WaitingPlace(
@@ -156,4 +156,4 @@
         now = anyio.current_time()
         pass_seconds = self.capacity.shortest_pass(request.service, now) or 0.0
         first_event_seconds = PASSES_TO_FIRST_EVENT * pass_seconds
-        return min(max(request.route.aim - first_event_seconds, 0.0), MAX_WAIT_SECONDS)
+        return min(max(request.route.slo - first_event_seconds, 0.0), MAX_WAIT_SECONDS)
--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -27,8 +27,8 @@
 from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.slow_ranks import SlowRanks
 from briarthread_entry.direct.target_backoffs import TargetBackoffs
-from briarthread_entry.direct.target_book import TargetBook
 from briarthread_entry.direct.target_limits import TargetLimits
+from briarthread_entry.direct.target_registry import TargetRegistry
 from briarthread_entry.direct.target_state import DirectTargetState
 
 RECENT_EVENT_SECONDS = 0.4
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        registry: TargetBook,
+        registry: TargetRegistry,
         peer_reports: PeerReports,
         membership: GroupMembership,
         slow_ranks: SlowRanks,
@@ -79,7 +79,7 @@
             return PassMeter(0.0, 0.0)
         ranks = len(self._ranks(group, anyio.current_time()))
         initial_cost = initial_request_cost(engine, max(ranks, 1))
-        return PassMeter(engine.stride * engine.step_seconds, initial_cost)
+        return PassMeter(engine.steps_per_pass * engine.step_seconds, initial_cost)
 
     def health(self, group: GroupId) -> GroupHealth:
         """Return the health of a group, created on first use."""
@@ -127,7 +127,7 @@
         if request_cost is None:
             request_cost = self.peer_reports.request_cost(str(group), now)
         limit = max_concurrency(
-            len(states), service.engine, request.route.gap_aim, request_cost
+            len(states), service.engine, request.route.gap_slo, request_cost
         )
         return GroupCapacity(
             serving=self._serves(service, group, now),
@@ -151,9 +151,9 @@
         start only a few.
         """
         slots = state.target.slots
-        limit = self.limits.of(state.target.name)
-        if limit is not None and state.seconds.samples:
-            slots = min(math.ceil(limit * state.seconds.value), slots)
+        limit = self.limits.limit_of(state.target.name)
+        if limit is not None and state.response_seconds.samples:
+            slots = min(math.ceil(limit * state.response_seconds.value), slots)
         free_attempts = self.backoffs.free_attempts(state.target.name, now)
         if free_attempts is None:
             return slots
@@ -181,7 +181,7 @@
     def _ranks(self, group: GroupId, now: float) -> list[DirectTargetState]:
         return [
             state
-            for state in self.registry.of_service(group.service, now)
+            for state in self.registry.available_targets(group.service, now)
             if self.membership.group_of(state.target) == group
         ]
 
--- a/packages/entry/src/briarthread_entry/direct/group_concurrency.py
+++ b/packages/entry/src/briarthread_entry/direct/group_concurrency.py
@@ -10,7 +10,7 @@
 slow ranks.
 """
 
-from briarthread_common.direct.engine_figures import EngineFigures
+from briarthread_common.direct.engine_profile import EngineProfile
 
 MIN_REQUEST_COST_SECONDS = 1e-6
 """Lower bound of the request cost, which avoids a division by zero."""
@@ -29,7 +29,7 @@
 
 
 def max_concurrency(
-    ranks: int, engine: EngineFigures, longest_pause: float, request_cost: float | None
+    ranks: int, engine: EngineProfile, longest_pause: float, request_cost: float | None
 ) -> int:
     """
     Return how many requests a group may run at once.
@@ -37,7 +37,7 @@
     ``request_cost`` is the number of seconds that a running request adds to a pass,
     ``None`` if nothing was observed.
 
-    >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
+    >>> engine = EngineProfile(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> max_concurrency(12, engine, 0.12, 0.0015)
     44
     >>> max_concurrency(12, engine, 0.12, 0.0005)
@@ -46,19 +46,19 @@
     slots = ranks * engine.slots
     if request_cost is None or longest_pause <= 0:
         return slots
-    fixed_seconds = engine.stride * engine.step_seconds
+    fixed_seconds = engine.steps_per_pass * engine.step_seconds
     fitting_requests = (longest_pause * MAX_PASS_FRACTION - fixed_seconds) / max(
         request_cost, MIN_REQUEST_COST_SECONDS
     )
     return int(min(max(fitting_requests, slots * MIN_SLOTS_FRACTION), slots))
 
 
-def initial_request_cost(engine: EngineFigures, ranks: int) -> float:
+def initial_request_cost(engine: EngineProfile, ranks: int) -> float:
     """
     Return an initial estimate of the seconds that a running request adds to a pass.
 
-    >>> engine = EngineFigures(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
+    >>> engine = EngineProfile(6, 0.006, 0.0007, 0.0, 60e3, 0.0, 512, 5)
     >>> round(initial_request_cost(engine, 10), 5)
     0.0007
     """
-    return engine.stride * engine.writer_seconds * INITIAL_SKEW / ranks
+    return engine.steps_per_pass * engine.decode_seconds * INITIAL_SKEW / ranks
--- a/packages/entry/src/briarthread_entry/direct/peer_reports.py
+++ b/packages/entry/src/briarthread_entry/direct/peer_reports.py
@@ -14,7 +14,7 @@
     longest_backoffs,
     merge_names,
 )
-from briarthread_entry.direct.crash_book import CrashBook
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.leaving_targets import LeavingTargets
 from briarthread_entry.direct.target_limits import TargetLimits
 
@@ -67,11 +67,11 @@
     def __init__(
         self,
         limits: TargetLimits | None = None,
-        crashes: CrashBook | None = None,
+        crashes: CrashTracker | None = None,
         leaving_targets: LeavingTargets | None = None,
     ) -> None:
         self.limits = limits or TargetLimits()
-        self.crashes = crashes or CrashBook()
+        self.crashes = crashes or CrashTracker()
         self.leaving_targets = leaving_targets or LeavingTargets()
         self.received: dict[str, _ReceivedReport] = {}
         self.totals: Counter[str] = Counter()
@@ -88,9 +88,9 @@
         """Store a report, which expires after ``lifetime`` seconds."""
         self._remove_report(entry)
         self.received[entry] = _ReceivedReport(report, now, now + lifetime)
-        self.limits.put(entry, report.limits, now)
-        self.crashes.put(entry, report.crashes, now)
-        self.leaving_targets.put(entry, report.leaving)
+        self.limits.merge(entry, report.limits, now)
+        self.crashes.merge(entry, report.crashes, now)
+        self.leaving_targets.set_reported(entry, report.leaving)
         self._extend_backoffs(report, now)
         self.totals.update(report.running)
 
--- a/packages/entry/src/briarthread_entry/direct/read_request.py
+++ b/packages/entry/src/briarthread_entry/direct/read_request.py
@@ -60,7 +60,9 @@
         account = self._account(headers, route, routes)
         body = await self._read_body(call, headers, routes)
         service = routes.services[self._choose_service(route)]
-        prompt_tokens, answer_tokens = _parse_size(headers.get(self.names.size, ""))
+        prompt_tokens, answer_tokens = _parse_token_counts(
+            headers.get(self.names.token_counts, "")
+        )
         caller_timeout = self._caller_timeout(headers)
         timeout = route.timeout
         priority = route.priority if account.priority is None else account.priority
@@ -134,11 +136,11 @@
         return tuple(pair for pair in call.header_fields if pair[0] not in dropped)
 
 
-def _parse_size(raw: str) -> tuple[int, int]:
+def _parse_token_counts(raw: str) -> tuple[int, int]:
     """
     Return the number of prompt tokens and the largest number of answer tokens.
 
-    >>> _parse_size("1460,80"), _parse_size("")
+    >>> _parse_token_counts("1460,80"), _parse_token_counts("")
     ((1460, 80), (0, 0))
     """
     prompt_tokens, _, answer_tokens = raw.partition(",")
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -12,17 +12,17 @@
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.http.app import AnswerAborted
 from briarthread_common.http.call import Call
-from briarthread_entry.direct.attempt_notes import SERVER_ERROR, AttemptNotes
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
-    LeftSlowRank,
-    ProvedNotRun,
-    StreamPassedOn,
-    TargetAnswer,
+    NotRun,
+    RankTooSlow,
+    StreamRelayed,
+    TargetResponse,
 )
+from briarthread_entry.direct.attempt_recorder import SERVER_ERROR, AttemptRecorder
 from briarthread_entry.direct.attempt_sender import AttemptSender
-from briarthread_entry.direct.crash_book import CrashBook
-from briarthread_entry.direct.crash_rule import LAST_REPEATED, MOST_CRASHES
+from briarthread_entry.direct.crash_rule import MAX_CRASHES, MAX_RETRIED_CRASHES
+from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.final_error import final_error, retry_reason
 from briarthread_entry.direct.group_admission import GroupAdmission
@@ -55,7 +55,7 @@
         self,
         chooser: TargetChooser,
         sender: AttemptSender,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         budget: SharedRetryBudget,
         admission: GroupAdmission,
         capacity: GroupCapacityTracker,
@@ -72,15 +72,17 @@
         self.capacity = capacity
         self.slow_ranks = slow_ranks
         self.metrics = metrics
-        self.notes = AttemptNotes(capacity, crashes, sender.backoffs, events)
+        self.attempt_recorder = AttemptRecorder(
+            capacity, crashes, sender.backoffs, events
+        )
         self.rng = rng
 
     async def run(self, request: DirectRequest, call: Call) -> None:
         """Respond to the caller, or raise the RequestError to respond with."""
-        if self.crashes.shut_out(request.digest, anyio.current_time()):
+        if self.crashes.is_blocked(request.digest, anyio.current_time()):
             raise RequestError(
                 ErrorKind.CRASHES_TARGETS,
-                f"request {request.digest} crashed {MOST_CRASHES} targets",
+                f"request {request.digest} crashed {MAX_CRASHES} targets",
             )
         relay = ResponseRelay(call, request.last_event_id)
         failures: list[DirectOutcome] = []
@@ -113,12 +115,12 @@
             may_change_rank = self._may_change_rank(request, sent)
             outcome = await self._attempt(request, state, relay, may_change_rank)
             match outcome:
-                case StreamPassedOn():
+                case StreamRelayed():
                     return
-                case TargetAnswer(status=status) if status < SERVER_ERROR:
+                case TargetResponse(status=status) if status < SERVER_ERROR:
                     await _send_response(call, outcome)
                     return
-                case ProvedNotRun(written=False):
+                case NotRun(written=False):
                     pass
                 case _:
                     sent += 1
@@ -164,7 +166,7 @@
         started = anyio.current_time()
         group = self.capacity.membership.group_of(state.target)
         relay.begin_attempt(partial(self.capacity.note_event, request.service, group))
-        self.crashes.begin(request.digest, state.target.name)
+        self.crashes.note_start(request.digest, state.target.name)
         state.running += 1
         state.prompt_tokens += request.prompt_tokens
         try:
@@ -175,8 +177,8 @@
         finally:
             state.running -= 1
             state.prompt_tokens -= request.prompt_tokens
-            self.crashes.end(request.digest, state.target.name)
-        self.notes.note(
+            self.crashes.note_end(request.digest, state.target.name)
+        self.attempt_recorder.record(
             request, state, outcome, started, relay.last_attempt_event_at is None
         )
         return outcome
@@ -194,10 +196,10 @@
         self, request: DirectRequest, state: DirectTargetState, relay: ResponseRelay
     ) -> DirectOutcome:
         """Send an attempt; cancel it if its rank gets slow and a retry is allowed."""
-        outcomes: list[LeftSlowRank] = []
+        outcomes: list[RankTooSlow] = []
 
         def leave(factor: float) -> None:
-            outcome = LeftSlowRank(factor)
+            outcome = RankTooSlow(factor)
             if self._spend_retry(request, retry_reason(outcome)):
                 outcomes.append(outcome)
                 scope.cancel()
@@ -223,17 +225,17 @@
         ``has_alternative`` is true if another group has free capacity.
         """
         outcome = failures[-1]
-        if isinstance(outcome, LeftSlowRank):
+        if isinstance(outcome, RankTooSlow):
             return True
         if sent >= request.route.max_attempts or len(failures) >= MAX_FAILED_ATTEMPTS:
             return False
-        if self.crashes.count(request.digest) > LAST_REPEATED:
+        if self.crashes.crash_count(request.digest) > MAX_RETRIED_CRASHES:
             return False
-        if isinstance(outcome, ProvedNotRun) and outcome.faulty and not has_alternative:
+        if isinstance(outcome, NotRun) and outcome.faulty_rank and not has_alternative:
             return False
-        if isinstance(outcome, ProvedNotRun) and not outcome.written:
+        if isinstance(outcome, NotRun) and not outcome.written:
             return True
-        if not isinstance(outcome, ProvedNotRun) and not request.route.repeatable:
+        if not isinstance(outcome, NotRun) and not request.route.repeatable:
             return False
         return self._spend_retry(request, retry_reason(outcome))
 
@@ -249,7 +251,7 @@
         self, request: DirectRequest, call: Call, failures: list[DirectOutcome]
     ) -> None:
         last_outcome = failures[-1]
-        if isinstance(last_outcome, TargetAnswer) and not call.started:
+        if isinstance(last_outcome, TargetResponse) and not call.started:
             await _send_response(call, last_outcome)
             return
         raise self._final_error(request, failures)
@@ -264,9 +266,9 @@
         return final_error(failures, time_left, self.rng.random(), closed)
 
 
-async def _send_response(call: Call, answer: TargetAnswer) -> None:
+async def _send_response(call: Call, response: TargetResponse) -> None:
     if call.started:
         raise AnswerAborted(
             "a started stream cannot be completed with a buffered response"
         )
-    await call.reply(answer.status, answer.body, answer.headers)
+    await call.reply(response.status, response.body, response.headers)
--- a/packages/entry/src/briarthread_entry/direct/response_relay.py
+++ b/packages/entry/src/briarthread_entry/direct/response_relay.py
@@ -20,9 +20,9 @@
     still be refused or started at another target. A later attempt may continue the
     same response. Events that the caller already has are then dropped, and a gap in the
     event ids is an error. ``on_event`` is called for each event with the time at which
-    the previous event of the same attempt was sent. ``first_at`` is the time at which
-    the first event was sent and ``longest_pause`` the longest time, in seconds, between
-    two events.
+    the previous event of the same attempt was sent. ``first_event_at`` is the time at
+    which the first event was sent and ``longest_pause`` the longest time, in seconds,
+    between two events.
     """
 
     def __init__(
@@ -34,8 +34,8 @@
         self.last_event_id = last_event_id
         self.on_event: Callable[[float | None], None] = _ignore
         self.last_attempt_event_at: float | None = None
-        self.first_at: float | None = None
-        self.last_at: float | None = None
+        self.first_event_at: float | None = None
+        self.last_event_at: float | None = None
         self.longest_pause = 0.0
 
     def begin_attempt(self, on_event: Callable[[float | None], None]) -> None:
@@ -71,11 +71,11 @@
         await self.call.finish()
 
     def _note_time(self, now: float) -> None:
-        if self.first_at is None or self.last_at is None:
-            self.first_at = now
+        if self.first_event_at is None or self.last_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_pause = max(self.longest_pause, now - self.last_at)
-        self.last_at = now
+            self.longest_pause = max(self.longest_pause, now - self.last_event_at)
+        self.last_event_at = now
 
 
 def _ignore(previous: float | None) -> None:
--- a/tests/direct/test_configuration.py
+++ b/tests/direct/test_configuration.py
@@ -200,7 +200,7 @@
 def test_pollers_rejected_by_the_platform_delay_no_entry() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        pollers = world.entries["entry-1"].replicator.poll_duty.names()
+        pollers = world.entries["entry-1"].replicator.poller_selection.names()
         world.store.turned_away = {
             world.entries[name].settings.listen for name in pollers
         }
@@ -214,7 +214,7 @@
 def test_pollers_that_die_are_replaced_in_time() -> None:
     async def scenario(world: DirectWorld) -> None:
         await anyio.sleep(5)
-        pollers = world.entries["entry-1"].replicator.poll_duty.names()
+        pollers = world.entries["entry-1"].replicator.poller_selection.names()
         for name in pollers:
             entry = world.entries[name]
             world.network.freeze(entry.settings.listen, True)
--- a/tests/direct/test_pass_meter.py
+++ b/tests/direct/test_pass_meter.py
@@ -16,7 +16,7 @@
     """Return the meter of an entry that has just started."""
     engine = build_engine()
     return PassMeter(
-        engine.stride * engine.step_seconds, initial_request_cost(engine, RANKS)
+        engine.steps_per_pass * engine.step_seconds, initial_request_cost(engine, RANKS)
     )
 
 
