--- a/packages/entry/src/briarthread_entry/direct/group_capacity.py
+++ b/packages/entry/src/briarthread_entry/direct/group_capacity.py
@@ -200,10 +200,12 @@
 
     def all_broken(self, service: str) -> bool:
         """Return whether groups of a service are known and all of them are broken."""
-        of_service = [
+        service_healths = [
             health for group, health in self.healths.items() if group.service == service
         ]
-        return bool(of_service) and all(health.broken for health in of_service)
+        return bool(service_healths) and all(
+            health.broken for health in service_healths
+        )
 
     def last_recovery(self, service: str) -> float:
         """Return the time at which a group of a service last recovered."""
@@ -226,10 +228,10 @@
         ]
         return min(pass_seconds, default=None)
 
-    def note_refused(self, group: GroupId, faulty: str) -> None:
+    def note_refused(self, group: GroupId, faulty_rank: str) -> None:
         """Record that a rank refused a request because its group is broken."""
         if self.health(group).note_broken(anyio.current_time()):
-            logger.warning("group: {} is not serving: {}", group, faulty)
+            logger.warning("group: {} is not serving: {}", group, faulty_rank)
 
     def note_event(
         self, service: DirectService, group: GroupId, previous: float | None
--- a/packages/entry/src/briarthread_entry/direct/running_reporter.py
+++ b/packages/entry/src/briarthread_entry/direct/running_reporter.py
@@ -22,7 +22,7 @@
 by different entries drift further apart."""
 SUM_INTERVAL_SECONDS = 0.25
 """Minimum interval between two sums over many entries, which change with every request
-of each entry. It is longer since a stream lasts about ten times as long."""
+of each entry. It is short enough, since streams last about ten times as long."""
 COLLECTOR_START_SECONDS = 0.4
 """Time during which a new collector gathers reports before it sends a sum: calls to the
 entries of its block take some hundredths of a second."""
