--- a/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_recorder.py
@@ -98,7 +98,7 @@
             case NotRun(written=True, replaced=False, faulty_rank=""):
                 self.crashes.note_alive(name, began)
             case OutcomeUnknown(connection_lost=True) if (
-                not self.capacity.book.is_leaving(state)
+                not self.capacity.registry.is_leaving(state)
             ):
                 in_group = request.service.engine is not None
                 stalled = in_group and now - began > GROUP_STALL_SECONDS
--- a/packages/entry/src/briarthread_entry/direct/direct_entry.py
+++ b/packages/entry/src/briarthread_entry/direct/direct_entry.py
@@ -1,4 +1,4 @@
-"""The entry before direct targets, put together."""
+"""Composition of an entry that sends to targets directly."""
 
 import random
 
@@ -50,11 +50,11 @@
 
 class DirectEntry:
     """
-    Hold the parts of one entry that sends to targets directly.
+    Create and connect the components of an entry that sends to targets directly.
 
-    ``app`` answers callers, ``peer_app`` other entries and operators. The
-    three channels keep connections to callers' targets, to peers and to the
-    platform apart, since each wants other timeouts.
+    ``app`` serves callers, ``peer_app`` other entries and operators. There are separate
+    channels for targets, peers and the platform, since each of them needs other
+    timeouts.
     """
 
     def __init__(
@@ -74,27 +74,32 @@
         self.feeds = FeedSet(DIRECT_FEEDS)
         self.directory = Directory(self.feeds.instances)
         self.store = adapter.open_store(store_channel, settings.store)
-        self.spreader = LongPollReplicator(
-            settings.spread, self.feeds, self.directory, self.store, peer_channel, rng
+        self.replicator = LongPollReplicator(
+            settings.spread,
+            self.feeds,
+            self.directory,
+            self.store,
+            peer_channel,
+            rng,
         )
         self.routes = RouteView(self.feeds.routes, adapter)
         self.limits = TargetLimits()
         self.backoffs = TargetBackoffs(self.metrics, rng)
         self.crashes = CrashTracker(self._note_crash_decision)
         self.leaving_targets = LeavingTargets()
-        self.book = TargetRegistry(
+        self.registry = TargetRegistry(
             self.feeds.targets,
             adapter,
-            self.spreader.healthy_since,
+            self.replicator.healthy_since,
             self.leaving_targets,
         )
-        self.book.on_removed = self._forget
+        self.registry.on_removed = self._discard_removed_targets
         self.peer_reports = PeerReports(self.limits, self.crashes, self.leaving_targets)
         self.group_reports = GroupReports()
         self.membership = GroupMembership(self.directory)
-        self.slow_ranks = SlowRanks(self.book, self.membership, self.group_reports)
+        self.slow_ranks = SlowRanks(self.registry, self.membership, self.group_reports)
         self.capacity = GroupCapacityTracker(
-            self.book,
+            self.registry,
             self.peer_reports,
             self.membership,
             self.slow_ranks,
@@ -121,14 +126,14 @@
             settings.name,
             self.directory,
             self.limits,
-            self.book.find,
+            self.registry.find,
             peer_channel,
             self.metrics,
         )
         self.runner = RequestRunner(
             TargetChooser(
                 settings.data_centre,
-                self.book,
+                self.registry,
                 self.peer_reports,
                 self.capacity,
                 self.slow_ranks,
@@ -166,7 +171,7 @@
         self.app = App([Route("*", "/", self.handler.handle)])
         self.peer_app = App(
             [
-                Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
+                Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
                 *self.running_reporter.routes(),
                 *self.tokens.routes(),
                 *self.pages.routes(),
@@ -175,28 +180,28 @@
 
     def start(self, tasks: TaskGroup) -> None:
         """Start the background tasks in a task group."""
-        tasks.start_soon(self.spreader.run)
+        tasks.start_soon(self.replicator.run)
         tasks.start_soon(self.routes.follow)
-        tasks.start_soon(self.book.follow)
+        tasks.start_soon(self.registry.follow)
         tasks.start_soon(self.running_watcher.run)
         tasks.start_soon(self.group_watcher.run)
         tasks.start_soon(self.slow_ranks.run)
-        tasks.start_soon(self._list_itself)
+        tasks.start_soon(self._ensure_registered)
 
     def apply(self, settings: DirectSettings) -> None:
-        """Take over settings read anew; addresses stay until a restart."""
+        """Apply reloaded settings; addresses change only on a restart."""
         set_up_logs(settings.log_level, settings.log_json)
         self.budget.allowance = settings.allowance
 
     async def drain(self) -> None:
-        """Say that the entry leaves, and go on serving until it is heard."""
+        """Announce the shutdown, and serve requests until it has been noticed."""
         logger.info("entry: stopping")
         self.draining = True
         await anyio.sleep(self.settings.drain_notice)
         self.running_reporter.close()
 
     def ready(self) -> str:
-        """Return why the entry is not ready, or nothing."""
+        """Return the reason why the entry is not ready, empty if it is ready."""
         if self.draining:
             return "draining"
         if self.routes.current() is None:
@@ -205,14 +210,14 @@
             return "no targets known yet"
         return ""
 
-    def _forget(self) -> None:
-        """Forget the limits and announced shutdowns of targets that are gone."""
-        self.limits.retain(self.book.states)
-        self.tokens.retain(self.book.states)
-        self.leaving_targets.retain(self.book.states)
+    def _discard_removed_targets(self) -> None:
+        """Drop the limits and announced shutdowns of removed targets."""
+        self.limits.retain(self.registry.states)
+        self.tokens.retain(self.registry.states)
+        self.leaving_targets.retain(self.registry.states)
 
-    async def _list_itself(self) -> None:
-        await self.spreader.started.wait()
+    async def _ensure_registered(self) -> None:
+        await self.replicator.started.wait()
         row = Instance(
             self.settings.name,
             self.settings.data_centre,
@@ -222,16 +227,20 @@
         await ensure_registered(row, self.directory, self.store)
 
     def _report(self) -> RunningReport:
-        """Return what other entries are told of what runs here."""
+        """Return the running report for the other entries."""
         report = self.admission.report()
         now = anyio.current_time()
-        words, crashes = self.limits.report(now), self.crashes.report(now)
+        limit_reports, crashes = self.limits.report(now), self.crashes.report(now)
         leaving = self.leaving_targets.own_names()
         backoffs = self.backoffs.seconds_left(now)
-        if not words and not crashes and not leaving and not backoffs:
+        if not limit_reports and not crashes and not leaving and not backoffs:
             return report
         return replace(
-            report, limits=words, crashes=crashes, leaving=leaving, backoffs=backoffs
+            report,
+            limits=limit_reports,
+            crashes=crashes,
+            leaving=leaving,
+            backoffs=backoffs,
         )
 
     def _note_crash_decision(self, decision: str, digest: str, reason: str) -> None:
@@ -243,20 +252,20 @@
 
     def _status(self) -> dict[str, object]:
         now = anyio.current_time()
-        self.book.refresh(now)
+        self.registry.refresh(now)
         return {
             "name": self.settings.name,
             "role": "direct entry",
             "versions": self.feeds.versions(),
-            "platform": "up" if self.spreader.platform_up else "down",
+            "platform": "up" if self.replicator.platform_up else "down",
             "targets": {
                 name: {
                     "service": state.target.service,
-                    "leaving": self.book.is_leaving(state),
+                    "leaving": self.registry.is_leaving(state),
                     "running": state.running,
                     "ejected_seconds": max(state.ejected_until - now, 0.0),
                 }
-                for name, state in self.book.states.items()
+                for name, state in self.registry.states.items()
             },
             "limits": {
                 name: known.per_second
