--- a/tests/spread/test_start.py
+++ b/tests/spread/test_start.py
@@ -18,7 +18,7 @@
 
         world.network.listen("10.200.0.1:80", "store", recording_app)
         agent = world.start_agent(0)
-        await agent.spreader.started.wait()
+        await agent.replicator.started.wait()
         assert all(feed.number for feed in agent.feeds.all())
         assert reads == []
 
@@ -30,7 +30,7 @@
         world.kill_agent(0)
         world.world.kill_entry("entry-1")
         agent = world.start_agent(0)
-        await agent.spreader.started.wait()
+        await agent.replicator.started.wait()
         assert all(feed.number for feed in agent.feeds.all())
 
     in_group_world(scenario)
