--- a/tests/ranks/test_slow_ranks.py
+++ b/tests/ranks/test_slow_ranks.py
@@ -12,7 +12,7 @@
 def usable_ranks(world: GroupWorld) -> list[str]:
     """Return the ranks to which an entry sends new requests."""
     slow_ranks = world.world.entries["entry-1"].slow_ranks
-    states = slow_ranks.usable(SERVICE, anyio.current_time())
+    states = slow_ranks.usable_ranks(SERVICE, anyio.current_time())
     return sorted(state.target.name for state in states)
 
 
