--- a/packages/entry/src/briarthread_entry/commands/apply.py
+++ b/packages/entry/src/briarthread_entry/commands/apply.py
@@ -24,7 +24,7 @@
 from briarthread_entry.commands.check import read_text_file
 from briarthread_entry.commands.show import VERSION_LINE
 
-PLATFORM_TIMEOUT = 5.0
+PLATFORM_TIMEOUT_SECONDS = 5.0
 
 
 class ApplyCommand(Command):
@@ -54,7 +54,7 @@
         base = _base(arguments["--base"], raw)
         sections = split_text(VERSION_LINE.sub("", raw, count=1))
         platform = PlatformClient(
-            self.channel, [str(arguments["--platform"])], PLATFORM_TIMEOUT
+            self.channel, [str(arguments["--platform"])], PLATFORM_TIMEOUT_SECONDS
         )
         store = TextStore(FeedStore(platform, FeedName.TEXT))
         by = str(arguments["--by"] or getpass.getuser())
--- a/packages/entry/src/briarthread_entry/commands/direct.py
+++ b/packages/entry/src/briarthread_entry/commands/direct.py
@@ -19,13 +19,15 @@
 from briarthread_entry.direct.direct_entry import DirectEntry
 from briarthread_entry.direct.settings import DirectSettings, load_direct_settings
 
-TARGETS = ChannelOptions(
+TARGET_CHANNEL_OPTIONS = ChannelOptions(
     connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, silence_seconds=1.2
 )
 """A target in reach takes a connection in milliseconds, also after one lost
 packet of a busy link; 4 s are under any idle timeout that targets state."""
-PEERS = ChannelOptions(connect_timeout=0.4, silence_seconds=1.0)
-STORE = ChannelOptions(connect_timeout=0.8, silence_seconds=1.0, max_idle=4)
+PEER_CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=1.0)
+STORE_CHANNEL_OPTIONS = ChannelOptions(
+    connect_timeout=0.8, silence_seconds=1.0, max_idle=4
+)
 """The store and peers answer in milliseconds when they answer at all."""
 
 
@@ -63,7 +65,7 @@
         async with anyio.create_task_group() as tasks:
             entry.start(tasks)
             tasks.start_soon(reload_on_signal, path, load_direct_settings, entry.apply)
-            tasks.start_soon(_follow_limits, entry, server)
+            tasks.start_soon(_update_idle_timeout, entry, server)
             logger.info("entry: {} serves {}", settings.name, settings.callers_listen)
             await server.run(entry.drain)
             tasks.cancel_scope.cancel()
@@ -75,15 +77,15 @@
         return DirectEntry(
             settings,
             adapter,
-            HttpChannel(TARGETS),
-            HttpChannel(PEERS),
-            HttpChannel(STORE),
+            HttpChannel(TARGET_CHANNEL_OPTIONS),
+            HttpChannel(PEER_CHANNEL_OPTIONS),
+            HttpChannel(STORE_CHANNEL_OPTIONS),
             Clock.from_system(),
             random.SystemRandom(),
         )
 
 
-async def _follow_limits(entry: DirectEntry, server: HttpServer) -> None:
+async def _update_idle_timeout(entry: DirectEntry, server: HttpServer) -> None:
     """Keep callers' idle connections for as long as the configuration says."""
     number = 0
     while True:
--- a/packages/entry/src/briarthread_entry/commands/explain.py
+++ b/packages/entry/src/briarthread_entry/commands/explain.py
@@ -10,9 +10,9 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_common.http.status_pages import EXPLAIN_PREFIX
 from briarthread_entry.commands.base import Arguments, Command
-from briarthread_entry.commands.log_story import tell_story
+from briarthread_entry.commands.log_excerpt import extract_log
 
-TIMEOUT = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class ExplainCommand(Command):
@@ -45,7 +45,7 @@
     def _read_log(self, name: str, subject: str) -> ExitCode:
         try:
             lines = sys.stdin if name == "-" else _lines_of(Path(name))
-            story = tell_story(lines, subject)
+            story = extract_log(lines, subject)
         except OSError as error:
             print(f"{name}: {error.strerror}", file=sys.stderr)
             return ExitCode.FAULTS
@@ -61,7 +61,7 @@
             f"{EXPLAIN_PREFIX}{arguments['SUBJECT']}",
             None,
             list[Event],
-            TIMEOUT,
+            TIMEOUT_SECONDS,
         )
         for event in events:
             at = datetime.fromtimestamp(event.at, UTC).isoformat(
--- a/packages/entry/src/briarthread_entry/commands/show.py
+++ b/packages/entry/src/briarthread_entry/commands/show.py
@@ -15,7 +15,7 @@
 from briarthread_entry.commands.base import Arguments, Command
 
 VERSION_LINE = re.compile(r"\A# briarthread text, version (?P<number>\d+)\n")
-TIMEOUT = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class ShowCommand(Command):
@@ -47,7 +47,7 @@
     async def _fetch(self, arguments: Arguments) -> FeedPatch | None:
         if arguments["--platform"]:
             address = str(arguments["--platform"])
-            platform = PlatformClient(self.channel, [address], TIMEOUT)
+            platform = PlatformClient(self.channel, [address], TIMEOUT_SECONDS)
             return await FeedStore(platform, FeedName.TEXT).read_since(0)
         answer = await call_json(
             self.channel,
@@ -56,6 +56,6 @@
             EXCHANGE_PATH,
             Exchange({}),
             Exchange,
-            TIMEOUT,
+            TIMEOUT_SECONDS,
         )
         return next((p for p in answer.patches if p.feed == FeedName.TEXT), None)
--- a/packages/entry/src/briarthread_entry/commands/status.py
+++ b/packages/entry/src/briarthread_entry/commands/status.py
@@ -8,7 +8,7 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_entry.commands.base import Arguments, Command
 
-TIMEOUT = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class StatusCommand(Command):
@@ -29,7 +29,13 @@
         code = ExitCode.DONE
         for address in arguments["ADDRESS"]:
             status = await call_json(
-                self.channel, address, "GET", "/status", None, dict[str, Any], TIMEOUT
+                self.channel,
+                address,
+                "GET",
+                "/status",
+                None,
+                dict[str, Any],
+                TIMEOUT_SECONDS,
             )
             print(msgspec.json.format(msgspec.json.encode(status)).decode())
             if status.get("ready") != "yes":
--- a/packages/entry/src/briarthread_entry/entry.py
+++ b/packages/entry/src/briarthread_entry/entry.py
@@ -51,7 +51,7 @@
         self.platform = PlatformClient(
             channel, settings.platform_addresses, settings.platform_timeout
         )
-        self.spreader = FeedReplicator(
+        self.replicator = FeedReplicator(
             settings.spread,
             self.feeds,
             self.directory,
@@ -61,7 +61,7 @@
         )
         self.table = TargetTable(settings.name, settings.data_centre, self.directory)
         self.watcher = LoadWatcher(
-            self.table, self.text, channel, self.spreader, clock, self.events, rng
+            self.table, self.text, channel, self.replicator, clock, self.events, rng
         )
         self.planner = GroupPlanner(
             settings.name,
@@ -86,7 +86,7 @@
         )
         self.handler = RequestHandler(
             settings.data_centre,
-            self.spreader.started,
+            self.replicator.started,
             self.text,
             self.directory,
             AccountLimiter(clock),
@@ -101,7 +101,7 @@
 
     def start(self, tasks: TaskGroup) -> None:
         """Start the background tasks in a task group."""
-        tasks.start_soon(self.spreader.run)
+        tasks.start_soon(self.replicator.run)
         tasks.start_soon(self.watcher.run)
         tasks.start_soon(self.planner.run)
 
@@ -115,7 +115,7 @@
         """Return why the entry is not ready, or nothing."""
         if self.draining:
             return "draining"
-        if not self.spreader.started.is_set():
+        if not self.replicator.started.is_set():
             return "starting"
         if self.text.current().number == 0:
             return "no services text yet"
@@ -125,7 +125,7 @@
         pages = StatusPages(self.metrics, self.events, self.ready, self._status)
         return [
             Route("*", SERVICES_PREFIX, self.handler.handle),
-            Route("POST", EXCHANGE_PATH, self.spreader.handle_exchange),
+            Route("POST", EXCHANGE_PATH, self.replicator.handle_exchange),
             *pages.routes(),
         ]
 
@@ -139,7 +139,7 @@
             "name": self.settings.name,
             "role": "entry",
             "versions": self.feeds.versions(),
-            "platform": "up" if self.spreader.platform_up else "down",
+            "platform": "up" if self.replicator.platform_up else "down",
             "in_flight": self.handler.in_flight,
             "targets": targets,
             "ready": self.ready() or "yes",
--- a/packages/entry/src/briarthread_entry/serving/attempt_outcome.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_outcome.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ResponseRelayed:
     """The caller has the whole answer."""
 
 
@@ -25,11 +25,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class OutcomeUnknown:
     """Nothing is known of the attempt."""
 
     error: RequestError
 
 
-Failure = NotRun | Failed | Lost
-AttemptOutcome = Answered | Failure
+Failure = NotRun | Failed | OutcomeUnknown
+AttemptOutcome = ResponseRelayed | Failure
--- a/packages/entry/src/briarthread_entry/serving/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_sender.py
@@ -33,23 +33,23 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_entry.routing.target_state import TargetState
 from briarthread_entry.serving.attempt_outcome import (
-    Answered,
     AttemptOutcome,
-    Lost,
     NotRun,
+    OutcomeUnknown,
+    ResponseRelayed,
 )
 from briarthread_entry.serving.caller_request import CallerRequest
 from briarthread_entry.serving.read_outcome import (
-    lost,
+    deadline_passed,
+    outcome_unknown,
     read_refusal,
     revoked,
-    too_late,
 )
 
-REVOKE_TIMEOUT = 0.5
-ANSWER_MARGIN = 0.03
+REVOKE_TIMEOUT_SECONDS = 0.5
+RESPONSE_MARGIN_SECONDS = 0.03
 """Seconds before the deadline at which the final answer is prepared."""
-MAX_JOINS = 3
+MAX_SENDS = 3
 """How often a broken connection to a running attempt is made anew."""
 
 
@@ -82,10 +82,10 @@
         call: Call,
     ) -> AttemptOutcome:
         """Return how the attempt ended; the caller's deadline bounds it."""
-        outcome: AttemptOutcome = lost("no answer")
-        for _ in range(MAX_JOINS):
+        outcome: AttemptOutcome = outcome_unknown("no answer")
+        for _ in range(MAX_SENDS):
             outcome = await self._send_once(request, attempt, target, call)
-            if not isinstance(outcome, Lost):
+            if not isinstance(outcome, OutcomeUnknown):
                 return outcome
             if call.started:
                 raise AnswerAborted("the answer broke off")
@@ -110,7 +110,7 @@
             tasks.start_soon(self._exchange, request, attempt, target, call, progress)
             outcome = await self._await_outcome(request, attempt, target, progress)
             tasks.cancel_scope.cancel()
-        return Answered() if call.finished else outcome
+        return ResponseRelayed() if call.finished else outcome
 
     async def _await_outcome(
         self,
@@ -127,10 +127,10 @@
             if verdict is RevokeState.REVOKED:
                 return revoked()
             if verdict is None:
-                return lost("the agent is silent")
+                return outcome_unknown("the agent is silent")
         with anyio.move_on_after(self._left(attempt)):
             await progress.done.wait()
-        return progress.outcome or too_late()
+        return progress.outcome or deadline_passed()
 
     async def _exchange(
         self,
@@ -147,7 +147,7 @@
         except NotWrittenError as error:
             progress.outcome = NotRun(RequestError(ErrorKind.NO_TARGET, str(error)))
         except BrokenCallError as error:
-            progress.outcome = lost(str(error))
+            progress.outcome = outcome_unknown(str(error))
         progress.head.set()
         progress.done.set()
 
@@ -174,7 +174,7 @@
             if result != ANSWERED:
                 return read_refusal(result, response)
             await self._pass_back(request, response, call)
-        return Answered()
+        return ResponseRelayed()
 
     async def _pass_back(
         self, request: CallerRequest, response: ChannelResponse, call: Call
@@ -205,7 +205,7 @@
                 "/agent/v1/revoke",
                 message,
                 RevokeAnswer,
-                REVOKE_TIMEOUT,
+                REVOKE_TIMEOUT_SECONDS,
             )
         except ChannelError:
             return None
@@ -220,4 +220,4 @@
         target.apply_report(report, self.clock.now())
 
     def _left(self, attempt: Attempt) -> float:
-        return max(attempt.deadline + ANSWER_MARGIN - self.clock.now(), 0.0)
+        return max(attempt.deadline + RESPONSE_MARGIN_SECONDS - self.clock.now(), 0.0)
--- a/packages/entry/src/briarthread_entry/serving/read_outcome.py
+++ b/packages/entry/src/briarthread_entry/serving/read_outcome.py
@@ -7,8 +7,8 @@
 from briarthread_entry.serving.attempt_outcome import (
     AttemptOutcome,
     Failed,
-    Lost,
     NotRun,
+    OutcomeUnknown,
 )
 
 
@@ -17,7 +17,7 @@
     try:
         kind = ErrorKind(result)
     except ValueError:
-        return lost(f"the agent answered {response.status} without a result")
+        return outcome_unknown(f"the agent answered {response.status} without a result")
     retry_after = response.headers.get("retry-after")
     outcome = response.headers.get("briarthread-outcome")
     error = RequestError(
@@ -36,9 +36,9 @@
     return NotRun(RequestError(ErrorKind.REVOKED, "silent agent; attempt revoked"))
 
 
-def too_late() -> Lost:
+def deadline_passed() -> OutcomeUnknown:
     """Return the outcome of an attempt whose agent is alive but too slow."""
-    return Lost(
+    return OutcomeUnknown(
         RequestError(
             ErrorKind.DEADLINE_PASSED,
             "no answer before the deadline",
@@ -47,6 +47,6 @@
     )
 
 
-def lost(detail: str) -> Lost:
+def outcome_unknown(detail: str) -> OutcomeUnknown:
     """Return the outcome of an attempt of which nothing is known."""
-    return Lost(RequestError(ErrorKind.OUTCOME_UNKNOWN, detail))
+    return OutcomeUnknown(RequestError(ErrorKind.OUTCOME_UNKNOWN, detail))
--- a/packages/entry/src/briarthread_entry/serving/read_request.py
+++ b/packages/entry/src/briarthread_entry/serving/read_request.py
@@ -20,7 +20,7 @@
 MAX_KEY_LENGTH = 200
 KEY_PATTERN = re.compile(r"[\x21-\x7e]+")
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-NO_DIGEST = "0" * 64
+DUMMY_DIGEST = "0" * 64
 
 
 async def read_request(
@@ -65,7 +65,7 @@
     scheme, _, key = authorization.partition(" ")
     digest = key_digest(key.strip())
     account = text.accounts_by_key.get(digest)
-    known = digest if account is not None else NO_DIGEST
+    known = digest if account is not None else DUMMY_DIGEST
     matches = hmac.compare_digest(digest, known)
     if account is None or not matches or scheme.lower() != "bearer":
         raise RequestError(ErrorKind.UNAUTHORIZED, "send a valid bearer key")
--- a/packages/entry/src/briarthread_entry/serving/request_runner.py
+++ b/packages/entry/src/briarthread_entry/serving/request_runner.py
@@ -27,14 +27,17 @@
 from briarthread_entry.routing.router import Pick, Router
 from briarthread_entry.routing.target_state import TargetState
 from briarthread_entry.serving.attempt_outcome import (
-    Answered,
     AttemptOutcome,
     Failed,
     Failure,
-    Lost,
     NotRun,
+    OutcomeUnknown,
+    ResponseRelayed,
+)
+from briarthread_entry.serving.attempt_sender import (
+    RESPONSE_MARGIN_SECONDS,
+    AttemptSender,
 )
-from briarthread_entry.serving.attempt_sender import ANSWER_MARGIN, AttemptSender
 from briarthread_entry.serving.caller_request import CallerRequest
 
 
@@ -72,14 +75,14 @@
             pick = await self._pick(request, text, tried, failures)
             tried.add(pick.target.instance.name)
             outcome = await self._attempt(request, pick, call)
-            if isinstance(outcome, Answered):
+            if isinstance(outcome, ResponseRelayed):
                 self.budget.note_success()
                 return
             failures.append(outcome)
             self._note(request, pick.target, outcome)
             self._check_retry(request, failures, last=number + 1 == limit)
             await anyio.sleep(retry_delay(number, self.rng))
-            if self.clock.now() + ANSWER_MARGIN >= request.deadline:
+            if self.clock.now() + RESPONSE_MARGIN_SECONDS >= request.deadline:
                 raise self._final(request, failures)
 
     async def _pick(
@@ -108,7 +111,7 @@
             id=random_id(self.rng),
             service=request.service.name,
             incarnation=pick.target.incarnation,
-            deadline=request.deadline - 2 * ANSWER_MARGIN,
+            deadline=request.deadline - 2 * RESPONSE_MARGIN_SECONDS,
             account=request.account.name,
             method=request.method,
             path=request.path,
@@ -121,7 +124,7 @@
         )
         pick.target.sent_since_report += 1
         outcome = await self.sender.send(request, attempt, pick.target, call)
-        if isinstance(outcome, Answered):
+        if isinstance(outcome, ResponseRelayed):
             pick.target.note_success()
         return outcome
 
@@ -143,7 +146,9 @@
         outcome = failures[-1]
         error = outcome.error
         proved = isinstance(outcome, NotRun)
-        safe = proved or (request.idempotent and isinstance(outcome, Lost | Failed))
+        safe = proved or (
+            request.idempotent and isinstance(outcome, OutcomeUnknown | Failed)
+        )
         if last or not safe:
             raise self._final(request, failures)
         if error.kind in MEMBERSHIP_KINDS:
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -17,7 +17,7 @@
 from briarthread_common.spread.directory import Directory
 from briarthread_common.utils.host_of import host_of
 from briarthread_platform.adapter import ADAPTER
-from briarthread_platform.store import Row, _changes
+from briarthread_platform.store import Row, _decode_rows
 from briarthread_standins.direct_world import DirectWorld
 
 INPUTS = 1500
@@ -74,7 +74,9 @@
 @given(st.text(max_size=40))
 @settings(max_examples=INPUTS, derandomize=True, deadline=None)
 def test_any_value_of_the_store_is_taken_as_some_text(value: str) -> None:
-    found = _changes([Row("good", base64.b64encode(b"x").decode()), Row("odd", value)])
+    found = _decode_rows(
+        [Row("good", base64.b64encode(b"x").decode()), Row("odd", value)]
+    )
     assert found["good"] == "x"
     assert isinstance(found["odd"], str)
 
