--- a/packages/entry/src/briarthread_entry/__init__.py
+++ b/packages/entry/src/briarthread_entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry of briarthread and the operator's commands."""
+"""Entry of briarthread and commands for operators."""
--- a/packages/entry/src/briarthread_entry/__main__.py
+++ b/packages/entry/src/briarthread_entry/__main__.py
@@ -1,4 +1,4 @@
-"""Run the binary as a module."""
+"""Run the ``briarthread`` command as a module."""
 
 from briarthread_entry.main import main
 
--- a/packages/entry/src/briarthread_entry/commands/apply.py
+++ b/packages/entry/src/briarthread_entry/commands/apply.py
@@ -28,10 +28,10 @@
 
 
 class ApplyCommand(Command):
-    """Send a services text to the platform."""
+    """Write a services text to the platform."""
 
     usage = """
-Put a services text in force in every data centre.
+Activate a services text in every data centre.
 
 Usage:
   briarthread apply --platform=ADDRESS [--base=VERSION] [--by=NAME] FILE
@@ -40,18 +40,18 @@
   --platform=ADDRESS  IP:PORT of the platform's table.
   --base=VERSION      Version that FILE was edited from. By default it is
                       taken from the first line that ``show`` wrote; 0 for
-                      the first text of all.
+                      the first text.
   --by=NAME           Who applies it; the user's name by default.
 
 It exits with 0 when the text was accepted, 2 when it has faults, 3 when
-another version was accepted meanwhile (the difference is shown and nothing
-of FILE is in force) and 4 when the platform cannot be reached.
+another version was accepted meanwhile (the difference is shown and FILE is
+not activated) and 4 when the platform cannot be reached.
 """
 
     async def run(self, arguments: Arguments) -> ExitCode:
-        """Check the text, then write it by compare-and-set."""
+        """Check the text and write it by compare-and-set."""
         raw = read_text_file(Path(str(arguments["FILE"])))
-        base = _base(arguments["--base"], raw)
+        base = _base_version(arguments["--base"], raw)
         sections = split_text(VERSION_LINE.sub("", raw, count=1))
         platform = PlatformClient(
             self.channel, [str(arguments["--platform"])], PLATFORM_TIMEOUT_SECONDS
@@ -64,36 +64,36 @@
                 print(f"accepted as version {number}")
                 return ExitCode.DONE
             case Unchanged(number=number):
-                print(f"version {number} says the same already")
+                print(f"version {number} already has the same content")
                 return ExitCode.DONE
             case Lost():
-                self._show_loss(result, sections)
+                self._show_conflict(result, sections)
                 return ExitCode.CONFLICT
 
-    def _show_loss(self, lost: Lost, mine: dict[str, str]) -> None:
+    def _show_conflict(self, conflict: Lost, own_sections: dict[str, str]) -> None:
         print(
-            f"not accepted: version {lost.number} by {lost.by} was accepted "
-            "meanwhile and nothing of yours is in force. Run show, edit that, "
-            "apply again. The difference:",
+            f"not accepted: version {conflict.number} by {conflict.by} was accepted "
+            "meanwhile, so the file was not activated. Run show, edit its output and "
+            "apply that. The difference:",
             file=sys.stderr,
         )
         difference = difflib.unified_diff(
-            join_text(lost.sections).splitlines(),
-            join_text(mine).splitlines(),
-            f"version {lost.number}",
+            join_text(conflict.sections).splitlines(),
+            join_text(own_sections).splitlines(),
+            f"version {conflict.number}",
             "yours",
             lineterm="",
         )
         print("\n".join(difference), file=sys.stderr)
 
 
-def _base(option: object, raw: str) -> int:
+def _base_version(option: object, raw: str) -> int:
     if option is not None:
         text = str(option)
     else:
         found = VERSION_LINE.match(raw)
         text = found["number"] if found else "0"
     if not re.fullmatch(r"\d+", text):
-        fault = CheckMessage("text.E007", "--base", f"{text!r} is no version")
+        fault = CheckMessage("text.E007", "--base", f"{text!r} is not a version number")
         raise ChecksFailed([fault])
     return int(text)
--- a/packages/entry/src/briarthread_entry/commands/base.py
+++ b/packages/entry/src/briarthread_entry/commands/base.py
@@ -1,4 +1,4 @@
-"""The base class of the commands."""
+"""Base class of the commands."""
 
 from collections.abc import Mapping
 
@@ -10,20 +10,20 @@
 
 class Command:
     """
-    Run one verb of the ``briarthread`` binary.
+    Run one subcommand of ``briarthread``.
 
-    Subclasses state their usage, with which docopt reads their arguments,
-    and override ``run``.
+    Subclasses define ``usage``, from which docopt parses their arguments, and
+    override ``run``.
     """
 
     usage = ""
 
     async def run(self, arguments: Arguments) -> ExitCode:
-        """Do the work and return the exit code."""
+        """Run the command and return its exit code."""
         raise NotImplementedError
 
     async def handle(self, arguments: Arguments) -> ExitCode:
-        """Run the command with a channel that is closed after it."""
+        """Run the command with a channel that is closed afterwards."""
         self.channel = HttpChannel()
         try:
             return await self.run(arguments)
--- a/packages/entry/src/briarthread_entry/commands/check.py
+++ b/packages/entry/src/briarthread_entry/commands/check.py
@@ -14,7 +14,7 @@
 
 
 class CheckCommand(Command):
-    """Check a services text or a settings file, listing all faults."""
+    """Check a services text or a settings file and list all faults."""
 
     usage = """
 Check a services text, or the settings of an entry.
@@ -23,11 +23,11 @@
   briarthread check [--settings] FILE
 
 Options:
-  --settings  FILE holds settings. A file with a section [instance] is taken
-              for settings without this option as well.
+  --settings  FILE holds settings. A file with a section [instance] is treated
+              as settings without this option, too.
 
-Settings with a section [direct] are those of `briarthread direct`; the adapter
-that they name is loaded.
+Settings with a section [direct] are settings of `briarthread direct`; the
+adapter that they name is loaded.
 
 It exits with 0 when FILE is good and with 2 when it has faults.
 """
@@ -49,7 +49,7 @@
 
 
 def check_settings(path: Path, raw: str) -> None:
-    """Read an entry's settings of either kind or raise ChecksFailed."""
+    """Raise ChecksFailed if settings of an entry, of either kind, have faults."""
     if _has_section(raw, "direct"):
         load_adapter(load_direct_settings(path).adapter)
     else:
@@ -61,7 +61,7 @@
 
 
 def read_text_file(path: Path) -> str:
-    """Return a file's text or raise ChecksFailed saying why not."""
+    """Return the text of a file, or raise ChecksFailed with the reason."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/packages/entry/src/briarthread_entry/commands/direct.py
+++ b/packages/entry/src/briarthread_entry/commands/direct.py
@@ -22,28 +22,32 @@
 TARGET_CHANNEL_OPTIONS = ChannelOptions(
     connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, silence_seconds=1.2
 )
-"""A target in reach takes a connection in milliseconds, also after one lost
-packet of a busy link; 4 s are under any idle timeout that targets state."""
+"""
+Options of the connections to targets.
+
+A reachable target accepts a connection within milliseconds, even if a busy link loses
+one packet. 4 s is shorter than any idle timeout that targets state.
+"""
 PEER_CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=1.0)
 STORE_CHANNEL_OPTIONS = ChannelOptions(
     connect_timeout=0.8, silence_seconds=1.0, max_idle=4
 )
-"""The store and peers answer in milliseconds when they answer at all."""
+"""Peers and the store answer within milliseconds if they answer at all."""
 
 
 class DirectCommand(Command):
-    """Run an entry before direct targets."""
+    """Run an entry that sends to targets directly."""
 
     usage = """
-Run an entry that routes callers' requests by host and path to targets that
-have no agent before them, as a platform lists them.
+Run an entry that routes callers' requests by host and path to targets without
+agents, which a platform lists.
 
 Usage:
   briarthread direct SETTINGS
 
 SETTINGS is an INI file; docs/reference/settings.md lists its options. It
 exits with 0 after a graceful stop by SIGTERM or SIGINT, and with 2 when the
-settings have faults. SIGHUP reads the settings anew.
+settings have faults. SIGHUP reloads the settings.
 """
 
     async def run(self, arguments: Arguments) -> ExitCode:
@@ -66,7 +70,11 @@
             entry.start(tasks)
             tasks.start_soon(reload_on_signal, path, load_direct_settings, entry.apply)
             tasks.start_soon(_update_idle_timeout, entry, server)
-            logger.info("entry: {} serves {}", settings.name, settings.callers_listen)
+            logger.info(
+                "entry: {} listens for callers on {}",
+                settings.name,
+                settings.callers_listen,
+            )
             await server.run(entry.drain)
             tasks.cancel_scope.cancel()
         logger.info("entry: stopped")
@@ -86,7 +94,7 @@
 
 
 async def _update_idle_timeout(entry: DirectEntry, server: HttpServer) -> None:
-    """Keep callers' idle connections for as long as the configuration says."""
+    """Apply the idle timeout of each new configuration to callers' connections."""
     number = 0
     while True:
         await entry.feeds.routes.wait_for_newer(number)
--- a/packages/entry/src/briarthread_entry/commands/explain.py
+++ b/packages/entry/src/briarthread_entry/commands/explain.py
@@ -27,8 +27,8 @@
 
 Options:
   --at=ADDRESS  IP:PORT of the entry or agent to ask.
-  --log=FILE    Logs of one or more processes, - for standard input. What those
-                that name SUBJECT believed at the time is printed with it.
+  --log=FILE    Logs of one or more processes, - for standard input. The state
+                that those which name SUBJECT logged at the time is printed, too.
 
 SUBJECT is a request id, or the name of an instance, account or service. It
 exits with 0, with 1 when nothing is known of SUBJECT (a process keeps its
@@ -37,23 +37,23 @@
 """
 
     async def run(self, arguments: Arguments) -> ExitCode:
-        """Print a line for each decision."""
+        """Print one line per decision."""
         if arguments["--log"] is not None:
             return self._read_log(str(arguments["--log"]), str(arguments["SUBJECT"]))
-        return await self._ask(arguments)
+        return await self._query(arguments)
 
     def _read_log(self, name: str, subject: str) -> ExitCode:
         try:
-            lines = sys.stdin if name == "-" else _lines_of(Path(name))
-            story = extract_log(lines, subject)
+            lines = sys.stdin if name == "-" else _read_lines(Path(name))
+            excerpt = extract_log(lines, subject)
         except OSError as error:
             print(f"{name}: {error.strerror}", file=sys.stderr)
             return ExitCode.FAULTS
-        for line in story:
+        for line in excerpt:
             print(line)
-        return ExitCode.DONE if story else ExitCode.FAILED
+        return ExitCode.DONE if excerpt else ExitCode.FAILED
 
-    async def _ask(self, arguments: Arguments) -> ExitCode:
+    async def _query(self, arguments: Arguments) -> ExitCode:
         events = await call_json(
             self.channel,
             str(arguments["--at"]),
@@ -72,6 +72,6 @@
         return ExitCode.DONE if events else ExitCode.FAILED
 
 
-def _lines_of(path: Path) -> Iterator[str]:
+def _read_lines(path: Path) -> Iterator[str]:
     with path.open(encoding="utf-8", errors="replace") as file:
         yield from file
--- a/packages/entry/src/briarthread_entry/commands/log_excerpt.py
+++ b/packages/entry/src/briarthread_entry/commands/log_excerpt.py
@@ -1,4 +1,4 @@
-"""The story of a request, read from logs."""
+"""Extraction of the lines about a subject from logs."""
 
 import re
 from collections.abc import Iterable
@@ -8,19 +8,19 @@
 LINE_START = re.compile(
     r"(?P<source>.*?)(?P<at>\d{4}-\d\d-\d\d \d\d:\d\d:\d\d\.\d{3}) \w+ "
 )
-"""A line of the log, after whatever a collector put before it."""
+"""Start of a log line, after any prefix that a log collector added."""
 STATE_LINE = re.compile(
     r" (group|spread|routes|logs): "
     r"| (target-ejected|ranks-slow|map-unsettled|map-finished) "
 )
-"""Lines that say what a process believes of the world."""
+"""Lines about the state of the system as a process sees it."""
 CONTEXT_BEFORE = timedelta(seconds=2)
-"""How long before a request's first line a belief still explains it."""
+"""Time before the first line about a subject from which state lines are included."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line with its time and what a collector put before it."""
+    """Log line with its time and the prefix that a log collector added."""
 
     text: str
     at: datetime
@@ -29,9 +29,9 @@
 
 def extract_log(lines: Iterable[str], subject: str) -> list[str]:
     r"""
-    Return the lines about a subject, and what was believed at that time.
+    Return the lines about a subject, and the state that was logged at that time.
 
-    Beliefs are those of the processes that name the subject, from two seconds
+    State lines are those of the processes that name the subject, from two seconds
     before its first line to its last.
 
     >>> log = [
@@ -43,28 +43,28 @@
     >>> extract_log(log, "r2") == [log[1], log[3]]
     True
     """
-    read = [line for line in map(_read, lines) if line is not None]
-    named = re.compile(rf"(?<![\w.-]){re.escape(subject)}(?![\w-])")
-    about = [line for line in read if named.search(line.text)]
-    if not about:
+    parsed = [line for line in map(_parse, lines) if line is not None]
+    pattern = re.compile(rf"(?<![\w.-]){re.escape(subject)}(?![\w-])")
+    matching = [line for line in parsed if pattern.search(line.text)]
+    if not matching:
         return []
-    first = min(line.at for line in about) - CONTEXT_BEFORE
-    last = max(line.at for line in about)
-    sources = {line.source for line in about}
-    story = [
+    first = min(line.at for line in matching) - CONTEXT_BEFORE
+    last = max(line.at for line in matching)
+    sources = {line.source for line in matching}
+    excerpt = [
         line
-        for line in read
-        if line in about
+        for line in parsed
+        if line in matching
         or (
             line.source in sources
             and first <= line.at <= last
             and STATE_LINE.search(line.text)
         )
     ]
-    return [line.text for line in sorted(story, key=lambda line: line.at)]
+    return [line.text for line in sorted(excerpt, key=lambda line: line.at)]
 
 
-def _read(text: str) -> LogLine | None:
+def _parse(text: str) -> LogLine | None:
     found = LINE_START.match(text)
     if found is None:
         return None
--- a/packages/entry/src/briarthread_entry/commands/serve.py
+++ b/packages/entry/src/briarthread_entry/commands/serve.py
@@ -16,10 +16,10 @@
 
 
 class ServeCommand(Command):
-    """Run an entry."""
+    """Run an entry that sends to agents."""
 
     usage = """
-Run an entry: take callers' requests and route them to targets.
+Run an entry: accept callers' requests and route them to targets.
 
 Usage:
   briarthread serve SETTINGS
--- a/packages/entry/src/briarthread_entry/commands/show.py
+++ b/packages/entry/src/briarthread_entry/commands/show.py
@@ -29,8 +29,8 @@
   briarthread show --entry=ADDRESS
 
 Options:
-  --platform=ADDRESS  Show what the platform's table holds.
-  --entry=ADDRESS     Show what is in force in one entry or agent.
+  --platform=ADDRESS  Show the text in the platform's table.
+  --entry=ADDRESS     Show the text that an entry or agent uses.
 
 It exits with 0, or with 4 when the address cannot be reached.
 """
--- a/packages/entry/src/briarthread_entry/commands/status.py
+++ b/packages/entry/src/briarthread_entry/commands/status.py
@@ -12,7 +12,7 @@
 
 
 class StatusCommand(Command):
-    """Print what processes say of themselves."""
+    """Print the state that processes report."""
 
     usage = """
 Print the state of entries and agents, one JSON object each.
@@ -25,7 +25,7 @@
 """
 
     async def run(self, arguments: Arguments) -> ExitCode:
-        """Ask each address in turn."""
+        """Query each address in turn."""
         code = ExitCode.DONE
         for address in arguments["ADDRESS"]:
             status = await call_json(
--- a/packages/entry/src/briarthread_entry/entry.py
+++ b/packages/entry/src/briarthread_entry/entry.py
@@ -1,4 +1,4 @@
-"""The entry, put together."""
+"""Composition of an entry that sends to agents."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 class Entry:
-    """Hold the parts of one entry and its ASGI application."""
+    """Create and connect the components of an entry and its ASGI application."""
 
     def __init__(
         self,
@@ -106,13 +106,13 @@
         tasks.start_soon(self.planner.run)
 
     async def drain(self) -> None:
-        """Say that the entry leaves, and go on serving until it is heard."""
+        """Announce the shutdown, and serve requests until it has been noticed."""
         logger.info("entry: stopping")
         self.draining = True
         await anyio.sleep(self.settings.drain_notice)
 
     def ready(self) -> str:
-        """Return why the entry is not ready, or nothing."""
+        """Return the reason why the entry is not ready, empty if it is ready."""
         if self.draining:
             return "draining"
         if not self.replicator.started.is_set():
--- a/packages/entry/src/briarthread_entry/main.py
+++ b/packages/entry/src/briarthread_entry/main.py
@@ -1,4 +1,4 @@
-"""The ``briarthread`` binary."""
+"""The ``briarthread`` command."""
 
 import importlib
 import sys
@@ -18,7 +18,7 @@
 VERSION = "briarthread 0.3.0"
 
 USAGE = """
-Balance load before expert-parallel model groups, and operate it.
+Balance load across expert-parallel model groups, and operate the balancer.
 
 Usage:
   briarthread COMMAND [ARGUMENTS...]
@@ -27,12 +27,12 @@
 
 Commands:
   serve    Run an entry.
-  direct   Run an entry before targets that have no agent.
+  direct   Run an entry that sends to targets without agents.
   check    Check a services text or a settings file.
-  apply    Put a services text in force.
+  apply    Activate a services text.
   show     Print the services text.
   status   Print the state of entries and agents.
-  explain  Print what was decided about a request, an instance or a service.
+  explain  Print the decisions about a request, an instance or a service.
 
 ``briarthread COMMAND --help`` shows the help of a command.
 """
@@ -46,15 +46,15 @@
     "status": "StatusCommand",
     "explain": "ExplainCommand",
 }
-"""The classes of the commands; each is in the module of its command's name."""
+"""Class of each command; it is in the module with the command's name."""
 
 
 def load_command(name: str) -> Command | None:
     """
-    Return a command, imported only now, ``None`` for one that does not exist.
+    Import and return a command, ``None`` if it does not exist.
 
-    An entry that starts anew pays for every module, and importing all commands
-    takes some two fifths more processor time than importing the one that it runs.
+    The other commands are not imported, because importing all of them would add about
+    two fifths to the processor time of the imports at each start of an entry.
     """
     if name not in COMMANDS:
         return None
@@ -63,11 +63,11 @@
 
 
 def run_command(argv: list[str]) -> ExitCode:
-    """Run the command that the arguments name and return its exit code."""
+    """Run the command given by the arguments and return its exit code."""
     arguments = docopt(USAGE, argv=argv, version=VERSION, options_first=True)
     command = load_command(arguments["COMMAND"])
     if command is None:
-        print(f"no command {arguments['COMMAND']!r}; try --help", file=sys.stderr)
+        print(f"unknown command {arguments['COMMAND']!r}; try --help", file=sys.stderr)
         return ExitCode.FAULTS
     options = docopt(command.usage, argv=argv)
     try:
@@ -84,5 +84,5 @@
 
 
 def main() -> None:
-    """Run the binary and exit."""
+    """Run the ``briarthread`` command and exit."""
     sys.exit(run_command(sys.argv[1:]))
--- a/packages/entry/src/briarthread_entry/serving/__init__.py
+++ b/packages/entry/src/briarthread_entry/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' requests from arrival to answer."""
+"""Handling of callers' requests that are sent to agents."""
--- a/packages/entry/src/briarthread_entry/serving/attempt_outcome.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How one attempt ended."""
+"""Outcomes of an attempt that is sent to an agent."""
 
 from dataclasses import dataclass
 
@@ -7,26 +7,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseRelayed:
-    """The caller has the whole answer."""
+    """The complete response was relayed to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """It is proved that the attempt did not run and never will."""
+    """The attempt provably did not run and never will."""
 
     error: RequestError
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The agent says that the run failed; it may have had an effect."""
+    """The agent reports that the attempt failed; it may have had an effect."""
 
     error: RequestError
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """Nothing is known of the attempt."""
+    """It is unknown whether the attempt ran."""
 
     error: RequestError
 
--- a/packages/entry/src/briarthread_entry/serving/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sending of one attempt and finding out what became of it."""
+"""Sending of a single attempt to an agent, and its revocation."""
 
 from dataclasses import dataclass, field
 
@@ -48,14 +48,18 @@
 
 REVOKE_TIMEOUT_SECONDS = 0.5
 RESPONSE_MARGIN_SECONDS = 0.03
-"""Seconds before the deadline at which the final answer is prepared."""
+"""Time before the deadline at which the final response is prepared, in seconds."""
 MAX_SENDS = 3
-"""How often a broken connection to a running attempt is made anew."""
+"""
+How often an attempt is sent to its agent.
+
+After a broken connection to a running attempt it is sent again.
+"""
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What the sending task has reached."""
+    """Progress of the task that sends an attempt."""
 
     head: anyio.Event = field(default_factory=anyio.Event)
     done: anyio.Event = field(default_factory=anyio.Event)
@@ -64,10 +68,11 @@
 
 class AttemptSender:
     """
-    Send an attempt to an agent and pass its answer to the caller.
+    Send an attempt to an agent and relay its response to the caller.
 
-    On silence or a broken connection the agent is asked to revoke the
-    attempt; its word decides whether the request may go elsewhere.
+    If no response arrives in time or the connection breaks, the agent is asked to
+    revoke the attempt. The state that it returns decides whether the request may be
+    sent to another target.
     """
 
     def __init__(self, channel: Channel, clock: Clock) -> None:
@@ -81,20 +86,22 @@
         target: TargetState,
         call: Call,
     ) -> AttemptOutcome:
-        """Return how the attempt ended; the caller's deadline bounds it."""
+        """Return the outcome of the attempt, at the caller's deadline at the latest."""
         outcome: AttemptOutcome = outcome_unknown("no answer")
         for _ in range(MAX_SENDS):
             outcome = await self._send_once(request, attempt, target, call)
             if not isinstance(outcome, OutcomeUnknown):
                 return outcome
             if call.started:
-                raise AnswerAborted("the answer broke off")
-            if self._left(attempt) <= 0:
+                raise AnswerAborted(
+                    "the connection to the agent broke during the response"
+                )
+            if self._remaining_seconds(attempt) <= 0:
                 return outcome
-            verdict = await self._revoke(attempt, target)
-            if verdict is RevokeState.REVOKED:
+            revoke_state = await self._revoke(attempt, target)
+            if revoke_state is RevokeState.REVOKED:
                 return revoked()
-            if verdict is None:
+            if revoke_state is None:
                 return outcome
         return outcome
 
@@ -119,16 +126,16 @@
         target: TargetState,
         progress: _Progress,
     ) -> AttemptOutcome:
-        patience = min(request.service.patience, self._left(attempt))
-        with anyio.move_on_after(patience):
+        timeout = min(request.service.patience, self._remaining_seconds(attempt))
+        with anyio.move_on_after(timeout):
             await progress.head.wait()
         if not progress.head.is_set():
-            verdict = await self._revoke(attempt, target)
-            if verdict is RevokeState.REVOKED:
+            revoke_state = await self._revoke(attempt, target)
+            if revoke_state is RevokeState.REVOKED:
                 return revoked()
-            if verdict is None:
-                return outcome_unknown("the agent is silent")
-        with anyio.move_on_after(self._left(attempt)):
+            if revoke_state is None:
+                return outcome_unknown("the agent does not respond")
+        with anyio.move_on_after(self._remaining_seconds(attempt)):
             await progress.done.wait()
         return progress.outcome or deadline_passed()
 
@@ -160,23 +167,23 @@
         progress: _Progress,
     ) -> AttemptOutcome:
         header = msgspec.json.encode(attempt).decode()
-        sent = ChannelRequest(
+        channel_request = ChannelRequest(
             "POST",
             target.instance.address,
             "/agent/v1/attempts",
             (*request.headers, (ATTEMPT_HEADER, header)),
             request.body,
         )
-        async with self.channel.stream(sent) as response:
+        async with self.channel.stream(channel_request) as response:
             progress.head.set()
-            self._take_load(target, response)
+            self._apply_load_report(target, response)
             result = response.headers.get(RESULT_HEADER, "")
             if result != ANSWERED:
                 return read_refusal(result, response)
-            await self._pass_back(request, response, call)
+            await self._relay_response(request, response, call)
         return ResponseRelayed()
 
-    async def _pass_back(
+    async def _relay_response(
         self, request: CallerRequest, response: ChannelResponse, call: Call
     ) -> None:
         headers = [(k, v) for k, v in response.headers.items() if k in PASSED_BACK]
@@ -193,7 +200,7 @@
     async def _revoke(
         self, attempt: Attempt, target: TargetState
     ) -> RevokeState | None:
-        """Return the agent's word on the attempt, ``None`` if it gives none."""
+        """Return the revocation state, ``None`` if the agent does not respond."""
         message = RevokeRequest(
             attempt.key, attempt.id, attempt.incarnation, attempt.deadline
         )
@@ -211,7 +218,9 @@
             return None
         return answer.state
 
-    def _take_load(self, target: TargetState, response: ChannelResponse) -> None:
+    def _apply_load_report(
+        self, target: TargetState, response: ChannelResponse
+    ) -> None:
         raw = response.headers.get(LOAD_HEADER, "")
         try:
             report = msgspec.json.decode(raw, type=LoadReport)
@@ -219,5 +228,5 @@
             return
         target.apply_report(report, self.clock.now())
 
-    def _left(self, attempt: Attempt) -> float:
+    def _remaining_seconds(self, attempt: Attempt) -> float:
         return max(attempt.deadline + RESPONSE_MARGIN_SECONDS - self.clock.now(), 0.0)
--- a/packages/entry/src/briarthread_entry/serving/caller_request.py
+++ b/packages/entry/src/briarthread_entry/serving/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller."""
+"""Request of a caller."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
     """
-    Describe a request whose head was read and accepted.
+    Hold a request that was read and validated.
 
-    ``key`` is the caller's idempotency key within its account, or drawn at
-    random where the caller gave none (``keyed`` false). ``deadline`` is Unix
-    time in seconds. ``path`` is what the target gets, query included.
+    ``key`` is the caller's idempotency key within its account; if the caller sent
+    none, it is random and ``keyed`` is false. ``deadline`` is Unix time in seconds.
+    ``path`` is the path sent to the target, including the query.
     """
 
     id: str
@@ -30,5 +30,5 @@
 
     @property
     def needs_holder(self) -> bool:
-        """Tell whether only the holder of the key's share may run it."""
+        """Return whether only the holder of the key's share may run the request."""
         return self.keyed and not self.idempotent
--- a/packages/entry/src/briarthread_entry/serving/dependencies.py
+++ b/packages/entry/src/briarthread_entry/serving/dependencies.py
@@ -1,4 +1,4 @@
-"""The state of what a service depends on."""
+"""Check of the services on which a service depends."""
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
@@ -10,16 +10,16 @@
 def check_dependencies(service: Service, text: ServicesText, router: Router) -> None:
     """Raise RequestError naming the first dependency without a target."""
     seen = {service.name}
-    open_names = list(service.depends_on)
-    while open_names:
-        name = open_names.pop()
+    pending = list(service.depends_on)
+    while pending:
+        name = pending.pop()
         if name in seen:
             continue
         seen.add(name)
-        needed = text.services[name]
-        if not router.has_target(needed):
+        dependency = text.services[name]
+        if not router.has_target(dependency):
             raise RequestError(
                 ErrorKind.DEPENDENCY_DOWN,
-                f"{service.name} refused: {name} has no target",
+                f"{service.name} is unavailable: dependency {name} has no target",
             )
-        open_names.extend(needed.depends_on)
+        pending.extend(dependency.depends_on)
--- a/packages/entry/src/briarthread_entry/serving/read_outcome.py
+++ b/packages/entry/src/briarthread_entry/serving/read_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange with an agent says of an attempt."""
+"""Outcomes of an attempt, as the end of an exchange with an agent shows them."""
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
@@ -13,7 +13,7 @@
 
 
 def read_refusal(result: str, response: ChannelResponse) -> AttemptOutcome:
-    """Return what an answer other than the target's says of the attempt."""
+    """Return the outcome for a response that does not come from the target."""
     try:
         kind = ErrorKind(result)
     except ValueError:
@@ -33,11 +33,13 @@
 
 def revoked() -> NotRun:
     """Return the outcome of an attempt that its agent has revoked."""
-    return NotRun(RequestError(ErrorKind.REVOKED, "silent agent; attempt revoked"))
+    return NotRun(
+        RequestError(ErrorKind.REVOKED, "no response from the agent; attempt revoked")
+    )
 
 
 def deadline_passed() -> OutcomeUnknown:
-    """Return the outcome of an attempt whose agent is alive but too slow."""
+    """Return the outcome of an attempt whose agent is alive but too slow to respond."""
     return OutcomeUnknown(
         RequestError(
             ErrorKind.DEADLINE_PASSED,
@@ -48,5 +50,5 @@
 
 
 def outcome_unknown(detail: str) -> OutcomeUnknown:
-    """Return the outcome of an attempt of which nothing is known."""
+    """Return the outcome of an attempt that may have run or not."""
     return OutcomeUnknown(RequestError(ErrorKind.OUTCOME_UNKNOWN, detail))
--- a/packages/entry/src/briarthread_entry/serving/read_request.py
+++ b/packages/entry/src/briarthread_entry/serving/read_request.py
@@ -1,4 +1,4 @@
-"""Reading and checking of a caller's request."""
+"""Reading and validation of a caller's request."""
 
 import hmac
 import random
@@ -21,16 +21,17 @@
 KEY_PATTERN = re.compile(r"[\x21-\x7e]+")
 SAFE_METHODS = frozenset({"GET", "HEAD"})
 DUMMY_DIGEST = "0" * 64
+"""Compared with the digest of an unknown key, so that each key is compared once."""
 
 
 async def read_request(
     call: Call, text: ServicesText, now: float, rng: random.Random
 ) -> CallerRequest:
     """
-    Return the checked request with its whole body.
+    Return the validated request with its complete body.
 
-    The key is checked before anything else is said, so that a caller
-    without one learns nothing of the services.
+    The account key is checked first, so that a caller without a valid one learns
+    nothing about the services.
     """
     headers = call.headers
     account = find_account(text, headers.get("authorization", ""))
@@ -57,10 +58,10 @@
 
 def find_account(text: ServicesText, authorization: str) -> Account:
     """
-    Return the account of a bearer key; raise RequestError for a wrong one.
+    Return the account of a bearer key; raise RequestError for an invalid one.
 
-    Only digests are looked up and compared, the latter in constant time, so
-    the time taken tells nothing about a key.
+    Only digests of keys are looked up and compared, and the comparison takes constant
+    time, so that the response time reveals nothing about a key.
     """
     scheme, _, key = authorization.partition(" ")
     digest = key_digest(key.strip())
@@ -106,6 +107,6 @@
     if len(raw) > MAX_KEY_LENGTH or not KEY_PATTERN.fullmatch(raw):
         raise RequestError(
             ErrorKind.BAD_REQUEST,
-            f"{KEY_HEADER} takes 1 to {MAX_KEY_LENGTH} printable characters",
+            f"{KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} printable characters",
         )
     return raw
--- a/packages/entry/src/briarthread_entry/serving/request_handler.py
+++ b/packages/entry/src/briarthread_entry/serving/request_handler.py
@@ -1,4 +1,4 @@
-"""A caller's request from arrival to answer."""
+"""Admission of callers' requests and their final responses."""
 
 import anyio
 
@@ -23,10 +23,10 @@
 
 class RequestHandler:
     """
-    Admit a request, run it and give the caller its final answer.
+    Admit a request, run it and send the caller the final response.
 
-    Nothing is served before ``started`` is set: until then the process may
-    know an older text than its peers.
+    Requests are refused until ``started`` is set, because until then the process may
+    have an older services text than its peers.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.in_flight = 0
 
     async def handle(self, call: Call) -> None:
-        """Serve one call on a service."""
+        """Handle a request to a service."""
         started = self.clock.now()
         self.in_flight += 1
         try:
@@ -66,7 +66,7 @@
             await self._serve(request, call)
         except RequestError as error:
             self.metrics.refusals.labels(str(error.kind)).inc()
-            raise _unread(call, error) from error
+            raise _error_before_read(call, error) from error
         finally:
             self.in_flight -= 1
             self.metrics.seconds.observe(self.clock.now() - started)
@@ -101,7 +101,7 @@
 
     def _admit(self, request: CallerRequest, text: ServicesText) -> None:
         if self.in_flight > self.max_in_flight:
-            raise RequestError(ErrorKind.OVERLOADED, "entry is full")
+            raise RequestError(ErrorKind.OVERLOADED, "too many requests in flight")
         check_dependencies(request.service, text, self.router)
         entries = len(self.directory.entries(self.data_centre))
         self.limiter.acquire(request.account, entries)
@@ -122,12 +122,13 @@
         await call.reply_error(error, ERROR_ANSWERS[error.kind].status, headers)
 
 
-def _unread(call: Call, error: RequestError) -> RequestError:
+def _error_before_read(call: Call, error: RequestError) -> RequestError:
     """
-    Return what a caller is told when its request was not even read.
+    Return the error for a request that was refused before it was read.
 
-    An entry that starts, or whose text is behind, knows nothing of an
-    earlier ask with the same key. Only a malformed request cannot have run.
+    An entry that is starting, or whose services text is outdated, does not know about
+    earlier requests with the same key, so their outcome is unknown. Only a malformed
+    request cannot have run.
     """
     keyed = any(name == KEY_HEADER.encode() for name, _ in call.scope["headers"])
     if keyed and error.kind is not ErrorKind.BAD_REQUEST:
--- a/packages/entry/src/briarthread_entry/serving/request_runner.py
+++ b/packages/entry/src/briarthread_entry/serving/request_runner.py
@@ -1,4 +1,4 @@
-"""The one retry path of the entry."""
+"""Retry loop of an entry that sends to agents; no other code of it retries."""
 
 import random
 
@@ -43,10 +43,10 @@
 
 class RequestRunner:
     """
-    Run a request by as many attempts as are proved safe and worth it.
+    Run a request in as many attempts as are safe and useful.
 
-    Another attempt is made only where the last one is proved not to have
-    run, or where the request is idempotent.
+    Another attempt is made only if the last one provably did not run or the request
+    is idempotent.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.budget = RetryBudget()
 
     async def run(self, request: CallerRequest, text: ServicesText, call: Call) -> None:
-        """Answer the caller, or raise the RequestError that it gets."""
+        """Relay a response to the caller, or raise the error to send to it."""
         limit = MAX_HOLDER_ATTEMPTS if request.needs_holder else MAX_ATTEMPTS
         tried: set[str] = set()
         failures: list[Failure] = []
@@ -79,11 +79,11 @@
                 self.budget.note_success()
                 return
             failures.append(outcome)
-            self._note(request, pick.target, outcome)
+            self._record_failure(request, pick.target, outcome)
             self._check_retry(request, failures, last=number + 1 == limit)
             await anyio.sleep(retry_delay(number, self.rng))
             if self.clock.now() + RESPONSE_MARGIN_SECONDS >= request.deadline:
-                raise self._final(request, failures)
+                raise self._final_error(request, failures)
 
     async def _pick(
         self,
@@ -92,12 +92,12 @@
         tried: set[str],
         failures: list[Failure],
     ) -> Pick:
-        """Return the next target; with none left the failures decide."""
+        """Return the next target; if none is left, raise the error of past attempts."""
         try:
             return await self.router.pick(request, text, tried)
         except RequestError as error:
             if failures:
-                raise self._final(request, failures) from error
+                raise self._final_error(request, failures) from error
             raise (
                 with_unknown_outcome(error) if request.needs_holder else error
             ) from error
@@ -128,7 +128,7 @@
             pick.target.note_success()
         return outcome
 
-    def _note(
+    def _record_failure(
         self, request: CallerRequest, target: TargetState, outcome: Failure
     ) -> None:
         error = outcome.error
@@ -142,30 +142,32 @@
     def _check_retry(
         self, request: CallerRequest, failures: list[Failure], last: bool
     ) -> None:
-        """Return when another attempt is allowed, else raise the final error."""
+        """Raise the final error unless another attempt is allowed."""
         outcome = failures[-1]
         error = outcome.error
-        proved = isinstance(outcome, NotRun)
-        safe = proved or (
+        not_run = isinstance(outcome, NotRun)
+        safe = not_run or (
             request.idempotent and isinstance(outcome, OutcomeUnknown | Failed)
         )
         if last or not safe:
-            raise self._final(request, failures)
+            raise self._final_error(request, failures)
         if error.kind in MEMBERSHIP_KINDS:
             pass
         elif error.kind not in BUDGETED_KINDS:
-            raise self._final(request, failures)
+            raise self._final_error(request, failures)
         elif not self.budget.spend(self.clock.now()):
             self.metrics.refusals.labels(str(ErrorKind.RETRY_BUDGET)).inc()
-            raise self._final(request, failures)
+            raise self._final_error(request, failures)
         self.metrics.retries.labels(str(error.kind)).inc()
 
-    def _final(self, request: CallerRequest, failures: list[Failure]) -> RequestError:
+    def _final_error(
+        self, request: CallerRequest, failures: list[Failure]
+    ) -> RequestError:
         """
-        Return the last failure, as not run only if no attempt may have run.
+        Return the error of the last attempt, not-run only if no attempt may have run.
 
-        A repeatable call may have been begun by an earlier attempt, whatever
-        became of the last one.
+        An earlier attempt of an idempotent request may have started, whatever the
+        outcome of the last one.
         """
         error = failures[-1].error
         certain = all(isinstance(failure, NotRun) for failure in failures)
@@ -178,8 +180,8 @@
     """
     Return the error with the outcome unknown.
 
-    A refusal of one ask says nothing of an earlier ask with the same key;
-    only the holder, having looked the key up, can say that it did not run.
+    The refusal of one request does not prove that an earlier request with the same key
+    did not run. Only the holder can tell, after looking the key up.
     """
     return RequestError(
         error.kind,
--- a/packages/entry/src/briarthread_entry/settings.py
+++ b/packages/entry/src/briarthread_entry/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the entry, with their defaults."""
+"""Settings of an entry that sends to agents, with their defaults."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -18,7 +18,7 @@
 INSTANCE = instance_section()
 LIMITS = SectionSpec(
     "limits",
-    "What the entry takes on.",
+    "Limits on the requests that the entry accepts.",
     (
         Option(
             "max_in_flight",
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """Hold the entry's settings; times are in seconds."""
+    """Hold the settings of an entry; times are in seconds."""
 
     name: str
     data_centre: str
@@ -50,7 +50,7 @@
 
 
 def load_entry_settings(path: Path) -> EntrySettings:
-    """Return the settings of a file or raise ChecksFailed with all faults."""
+    """Return the settings in a file, or raise ChecksFailed with all faults."""
     values = read_settings(path, ENTRY_SECTIONS)
     instance = values["instance"]
     return EntrySettings(
