--- a/tests/entry/test_commands.py
+++ b/tests/entry/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands end with exit codes that scripts can rely on."""
+"""Exit codes and output of the commands."""
 
 from pathlib import Path
 
@@ -17,7 +17,7 @@
     return str(path)
 
 
-def test_check_of_a_good_text_is_done(tmp_path: Path) -> None:
+def test_check_accepts_a_valid_text(tmp_path: Path) -> None:
     assert run_command(["check", write(tmp_path, build_text())]) is ExitCode.DONE
 
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("option", [[], ["--settings"]])
-def test_check_knows_the_settings_of_an_entry_before_direct_targets(
+def test_check_accepts_the_settings_of_an_entry_for_direct_targets(
     option: list[str], tmp_path: Path
 ) -> None:
     good = DIRECT_SETTINGS.format(adapter="briarthread_platform.adapter")
@@ -88,7 +88,7 @@
     assert run_command(["dance"]) is ExitCode.FAULTS
 
 
-def test_silent_address_is_unreachable() -> None:
+def test_status_of_an_unused_address_is_unreachable() -> None:
     assert run_command(["status", UNUSED_ADDRESS]) is ExitCode.UNREACHABLE
 
 
@@ -107,7 +107,7 @@
 """
 
 
-def test_explain_tells_a_requests_story_from_a_log(
+def test_explain_prints_the_lines_about_a_request_from_a_log(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     command = ["explain", f"--log={write(tmp_path, LOG)}", "r-2"]
--- a/tests/platform/test_folder.py
+++ b/tests/platform/test_folder.py
@@ -1,11 +1,11 @@
 """
-The platform's names stay in its folder, and no decision gets into it.
+The platform's names are used only in its folder, which makes no decisions.
 
-A name counts as the platform's when it is one of its headers, calls or fields
-that no other product would use. A module decides when it waits, draws lots,
-loops until something changes, or keeps what it has seen: so the folder holds
-no clocks, no random numbers, no ``while`` beyond reading the pages of one
-answer, and sets attributes in ``__init__`` only.
+A name belongs to the platform if it is one of its headers, calls or fields that
+no other product would use. A module makes decisions if it waits, uses random
+numbers, loops until something changes, or keeps state. So the folder contains
+no clocks, no random numbers and no ``while`` except to read the pages of one
+response, and sets attributes in ``__init__`` only.
 """
 
 import ast
@@ -50,17 +50,17 @@
 )
 DECIDING_MODULES = {"random", "time", "asyncio", "loguru"}
 ALLOWED_LOOPS = {"store.py": 1}
-"""``while`` statements by file: the store's reader asks for page after page."""
+"""Number of ``while`` statements by file; the store's client reads page after page."""
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: path.name)
-def test_source_names_nothing_of_the_platform(path: Path) -> None:
+def test_source_contains_no_name_of_the_platform(path: Path) -> None:
     text = path.read_text(encoding="utf-8").lower()
     assert [name for name in NAMES if name.lower() in text] == []
 
 
 @pytest.mark.parametrize("path", sorted(FOLDER.rglob("*.py")), ids=lambda p: p.name)
-def test_folder_decides_nothing(path: Path) -> None:
+def test_folder_makes_no_decisions(path: Path) -> None:
     tree = ast.parse(path.read_text(encoding="utf-8"))
     loops = sum(isinstance(node, ast.While) for node in ast.walk(tree))
     assert imported(tree) & DECIDING_MODULES == set()
@@ -69,7 +69,7 @@
     assert kept_state(tree) == []
 
 
-def test_check_finds_a_decision() -> None:
+def test_checks_detect_a_decision() -> None:
     tree = ast.parse(
         "import random\n"
         "class Store:\n"
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows of another writer: each is left out by itself, and all others hold."""
+"""Invalid rows of other writers: each one is ignored, and all others stay valid."""
 
 import base64
 import json
@@ -20,37 +20,50 @@
 from briarthread_platform.store import Row, _decode_rows
 from briarthread_standins.direct_world import DirectWorld
 
-INPUTS = 1500
-GOOD = {
+MAX_EXAMPLES = 1500
+VALID_ROW = {
     "service": DIARY,
     "address": "10.9.0.1:80",
     "zone": "palermo",
     "slots": 6,
     "state": "ready",
 }
-ODD: list[Any] = [None, "", "x", 0, -1, 1.5, 10**30, True, [], {}, "10.9.0.1", "a:b"]
-ANYTHING = st.recursive(
+UNUSUAL_VALUES: list[Any] = [
+    None,
+    "",
+    "x",
+    0,
+    -1,
+    1.5,
+    10**30,
+    True,
+    [],
+    {},
+    "10.9.0.1",
+    "a:b",
+]
+ANY_JSON_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: (
         st.lists(inner, max_size=3)
         | st.dictionaries(
-            st.sampled_from([*GOOD, "coldLeftMs", "x"]), inner, max_size=6
+            st.sampled_from([*VALID_ROW, "coldLeftMs", "x"]), inner, max_size=6
         )
     ),
     max_leaves=8,
 )
 ROWS = st.one_of(
     st.text(max_size=60),
-    ANYTHING.map(lambda value: json.dumps(value)),
-    st.tuples(st.sampled_from([*GOOD, "coldLeftMs"]), st.sampled_from(ODD)).map(
-        lambda change: json.dumps({**GOOD, change[0]: change[1]})
-    ),
+    ANY_JSON_VALUE.map(lambda value: json.dumps(value)),
+    st.tuples(
+        st.sampled_from([*VALID_ROW, "coldLeftMs"]), st.sampled_from(UNUSUAL_VALUES)
+    ).map(lambda change: json.dumps({**VALID_ROW, change[0]: change[1]})),
 )
 
 
 @given(ROWS)
-@settings(max_examples=INPUTS, derandomize=True, deadline=None)
-def test_any_row_is_a_target_that_can_be_called_or_none(row: str) -> None:
+@settings(max_examples=MAX_EXAMPLES, derandomize=True, deadline=None)
+def test_any_row_is_decoded_into_a_valid_target_or_rejected(row: str) -> None:
     try:
         target = ADAPTER.decode_target("t-1", row)
     except DecodeError:
@@ -63,8 +76,8 @@
 
 
 @given(ROWS)
-@settings(max_examples=INPUTS, derandomize=True, deadline=None)
-def test_any_config_is_read_or_refused(row: str) -> None:
+@settings(max_examples=MAX_EXAMPLES, derandomize=True, deadline=None)
+def test_any_config_is_decoded_or_rejected(row: str) -> None:
     try:
         ADAPTER.decode_routes({"config": row})
     except DecodeError:
@@ -72,17 +85,17 @@
 
 
 @given(st.text(max_size=40))
-@settings(max_examples=INPUTS, derandomize=True, deadline=None)
-def test_any_value_of_the_store_is_taken_as_some_text(value: str) -> None:
-    found = _decode_rows(
+@settings(max_examples=MAX_EXAMPLES, derandomize=True, deadline=None)
+def test_any_value_of_the_store_is_decoded_as_text(value: str) -> None:
+    decoded = _decode_rows(
         [Row("good", base64.b64encode(b"x").decode()), Row("odd", value)]
     )
-    assert found["good"] == "x"
-    assert isinstance(found["odd"], str)
+    assert decoded["good"] == "x"
+    assert isinstance(decoded["odd"], str)
 
 
 @pytest.mark.parametrize("raw", ["", "{", "[]", '{"name": 1}', "\ufffd", "null"])
-def test_foreign_row_among_our_instances_is_left_out(raw: str) -> None:
+def test_invalid_row_among_our_instances_is_ignored(raw: str) -> None:
     own = Instance("entry-1", "palermo", "10.1.0.1:9", InstanceRole.ENTRY)
     feed = Feed("instances")
     feed.items = {"entry-1": msgspec.json.encode(own).decode(), "odd": raw}
@@ -94,11 +107,11 @@
     "change",
     [{"address": "nowhere"}, {"address": "a:b"}, {"slots": "six"}, {"slots": -1}, {}],
 )
-def test_good_row_holds_among_foreign_ones(change: dict[str, Any]) -> None:
-    """Hundreds of odd rows change nothing for callers, nor does one that turns good."""
+def test_valid_row_is_used_among_invalid_ones(change: dict[str, Any]) -> None:
+    """Hundreds of odd rows do not affect callers, and one that is corrected is used."""
 
     async def scenario(world: DirectWorld) -> None:
-        row = {**GOOD, "address": "10.9.9.9:80", **change}
+        row = {**VALID_ROW, "address": "10.9.9.9:80", **change}
         for number in range(200):
             world.store.put("servers", f"odd-{number}", row if change else ["odd"])
         await anyio.sleep(2)
--- a/tests/platform/test_header_names.py
+++ b/tests/platform/test_header_names.py
@@ -1,4 +1,4 @@
-"""The source of the entry uses every field of ``HeaderNames``."""
+"""Every field of ``HeaderNames`` is used by the entry."""
 
 import re
 from dataclasses import fields
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The store's client tells apart what the store may answer."""
+"""The client of the store handles each kind of response."""
 
 from collections.abc import Awaitable, Callable
 
@@ -30,7 +30,7 @@
     run_virtual(run)
 
 
-def test_whole_feed_of_several_pages() -> None:
+def test_snapshot_of_several_pages() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.page = 2
         for number in range(5):
@@ -43,7 +43,7 @@
     with_store(scenario)
 
 
-def test_follow_waits_for_a_change_and_tells_dropped_rows() -> None:
+def test_long_poll_waits_for_a_change_and_reports_removed_rows() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
         before = (await client.read_snapshot("targets")).number
@@ -62,7 +62,7 @@
     with_store(scenario)
 
 
-def test_follow_without_news_ends_after_the_wait() -> None:
+def test_long_poll_without_changes_ends_after_the_wait() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         patch = await client.long_poll("targets", 0, 4.0)
         assert patch.changes == {}
@@ -71,7 +71,7 @@
     with_store(scenario)
 
 
-def test_dropped_history_is_told_as_such() -> None:
+def test_discarded_history_raises_history_gone_error() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
         users_store.forget()
@@ -91,7 +91,7 @@
     with_store(scenario)
 
 
-def test_silent_store_is_given_up_within_a_second_and_a_bit() -> None:
+def test_call_to_an_unresponsive_store_times_out_within_1500_ms() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.silent = True
         with pytest.raises(PlatformError, match="no answer"):
@@ -101,7 +101,7 @@
     with_store(scenario)
 
 
-def test_instance_is_listed_in_a_table_of_our_own() -> None:
+def test_instance_is_registered_in_our_own_table() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         await client.register_instance(ROW)
         assert b"entry-1" in users_store.value("instances", "entry-1")
@@ -111,7 +111,7 @@
     with_store(scenario)
 
 
-def test_seat_is_taken_by_one_and_numbers_only_rise() -> None:
+def test_fencing_token_of_a_role_increases_with_each_holder() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         first = await client.acquire_role("maps/g", "agent-1")
         second = await client.acquire_role("maps/g", "agent-2")
@@ -122,7 +122,7 @@
     with_store(scenario)
 
 
-def test_seat_taken_by_another_between_read_and_write_is_not_ours() -> None:
+def test_role_is_not_acquired_if_its_row_changes_between_read_and_write() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.late_writes = 1
         users_store.late = 0.5
@@ -144,7 +144,7 @@
     with_store(scenario)
 
 
-def test_lost_answer_to_a_write_is_an_error_though_it_was_done() -> None:
+def test_lost_response_to_a_write_is_an_error_although_it_took_effect() -> None:
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.lose_writes = 1
         with pytest.raises(PlatformError):
--- a/tests/processes/run_bad_input.py
+++ b/tests/processes/run_bad_input.py
@@ -1,10 +1,10 @@
 """
-Send bad input to a real entry and a real agent, and see that they live on.
+Send invalid input to a real entry and a real agent, and check that they survive it.
 
 Usage:
   run_bad_input
 
-It prints a line a case and exits with 1 if one failed.
+It prints one line per case and exits with 1 if a case failed.
 """
 
 import socket
@@ -27,10 +27,10 @@
 EXCHANGE = (
     'POST /peer/v1/exchange HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{"a":'
 )
-READ_SECONDS = 3.0
+READ_TIMEOUT_SECONDS = 3.0
 SLOW_READERS = 12
-SLOW_SECONDS = 4.0
-MAX_GROWTH = 20_000_000
+SLOW_READ_SECONDS = 4.0
+MAX_GROWTH_BYTES = 20_000_000
 OK = 200
 MANY_TOKENS = b'{"tokens": 100000}'
 
@@ -63,9 +63,11 @@
 
 
 def send(address: str, raw: str, half_close: bool = True) -> int:
-    """Send raw bytes and return the status of the answer, 0 for none."""
+    """Send raw bytes and return the status of the response, 0 if there is none."""
     host, _, port = address.rpartition(":")
-    with socket.create_connection((host, int(port)), READ_SECONDS) as connection:
+    with socket.create_connection(
+        (host, int(port)), READ_TIMEOUT_SECONDS
+    ) as connection:
         try:
             connection.sendall(raw.encode("latin-1"))
             if half_close:
@@ -80,38 +82,40 @@
 
 
 def run_case(deployment: Deployment, name: str) -> bool:
-    """Run one case and tell whether the entry answered as it should and lives."""
+    """Return whether the entry responds to one case as expected and stays alive."""
     raw, expected = CASES[name]
     entry = deployment.entry_address("palermo")
     status = send(entry, raw)
     alive = deployment.get(entry, "/healthz") == {"alive": True}
-    good = alive and (status in expected if expected else status in (0, 400))
-    print(f"{'ok' if good else 'FAILED'}: {name}: {status or 'closed'}", flush=True)
-    return good
+    passed = alive and (status in expected if expected else status in (0, 400))
+    print(f"{'ok' if passed else 'FAILED'}: {name}: {status or 'closed'}", flush=True)
+    return passed
 
 
-def hang_up(deployment: Deployment) -> bool:
-    """Hang up in a stream; the engine must take the request out of its batch."""
+def disconnect_caller(deployment: Deployment) -> bool:
+    """Close a connection during a stream; the engine must then cancel the request."""
     host, _, port = deployment.entry_address("palermo").rpartition(":")
     head = (
         f"POST /v1/services/assistant/x HTTP/1.1\r\nHost: x\r\n{AUTH}"
         f"Content-Length: {len(MANY_TOKENS)}\r\n\r\n"
     )
-    with socket.create_connection((host, int(port)), READ_SECONDS) as connection:
+    with socket.create_connection(
+        (host, int(port)), READ_TIMEOUT_SECONDS
+    ) as connection:
         connection.sendall(head.encode() + MANY_TOKENS)
         connection.recv(4096)
         time.sleep(0.2)
-    good = True
+    passed = True
     try:
-        wait_until(lambda: cancelled(deployment) == 1, "the cancel")
+        wait_until(lambda: cancelled_requests(deployment) == 1, "the cancel")
     except TimeoutError:
-        good = False
-    print(f"{'ok' if good else 'FAILED'}: caller hangs up in a stream", flush=True)
-    return good
+        passed = False
+    print(f"{'ok' if passed else 'FAILED'}: caller hangs up in a stream", flush=True)
+    return passed
 
 
-def read_slowly(deployment: Deployment) -> bool:
-    """Do not read a long stream; the entry must stay small and go on serving."""
+def stall_readers(deployment: Deployment) -> bool:
+    """Leave long streams unread; the entry must stay small and serve other requests."""
     entry = deployment.processes["entry-palermo-0"]
     host, _, port = entry.address.rpartition(":")
     head = (
@@ -121,25 +125,25 @@
     before = read_usage(entry.handle.pid).rss
     connections = []
     for _ in range(SLOW_READERS):
-        connection = socket.create_connection((host, int(port)), READ_SECONDS)
+        connection = socket.create_connection((host, int(port)), READ_TIMEOUT_SECONDS)
         connection.sendall(head.encode() + MANY_TOKENS)
         connections.append(connection)
-    time.sleep(SLOW_SECONDS)
+    time.sleep(SLOW_READ_SECONDS)
     status = send(entry.address, f"{HEAD}Content-Length: 0\r\n\r\n", half_close=False)
-    grown = read_usage(entry.handle.pid).rss - before
+    growth = read_usage(entry.handle.pid).rss - before
     for connection in connections:
         connection.close()
-    good = status == OK and grown < MAX_GROWTH
+    passed = status == OK and growth < MAX_GROWTH_BYTES
     print(
-        f"{'ok' if good else 'FAILED'}: {SLOW_READERS} slow readers: other request "
-        f"{status}, entry grew by {grown / 1e6:.1f} MB",
+        f"{'ok' if passed else 'FAILED'}: {SLOW_READERS} slow readers: other request "
+        f"{status}, entry grew by {growth / 1e6:.1f} MB",
         flush=True,
     )
-    return good
+    return passed
 
 
-def cancelled(deployment: Deployment) -> int:
-    """Return how many requests the engines have taken out of their batches."""
+def cancelled_requests(deployment: Deployment) -> int:
+    """Return how many requests the engines have cancelled."""
     return sum(
         deployment.get(address, "/standin/batch")["cancelled"]
         for name, address in deployment.standins.items()
@@ -158,8 +162,8 @@
             deployment.wait_ready()
             checks: list[Callable[[], bool]] = [
                 *(lambda name=name: run_case(deployment, name) for name in CASES),
-                lambda: hang_up(deployment),
-                lambda: read_slowly(deployment),
+                lambda: disconnect_caller(deployment),
+                lambda: stall_readers(deployment),
             ]
             results = [check() for check in checks]
         finally:
--- a/tests/processes/run_faults.py
+++ b/tests/processes/run_faults.py
@@ -1,11 +1,11 @@
 """
-Run a deployment of separate processes under real kills, freezes and stops.
+Run a deployment of separate processes and kill, freeze and stop some of them.
 
 Usage:
   run_faults
 
-It prints a line a check and exits with 1 if one failed. It is run outside CI,
-because it takes real time.
+It prints one line per check and exits with 1 if a check failed. It is run outside
+CI, because it takes real time.
 """
 
 import signal
@@ -25,7 +25,7 @@
 TEXT = Path(__file__).parents[2] / "examples" / "caruso.ini"
 DATA_CENTRES = ["palermo", "catania", "messina"]
 ACCOUNT_KEY = "salon-3"
-HOME = "palermo"
+HOME_DATA_CENTRE = "palermo"
 SHARES = 6
 FREEZE_SECONDS = 3.0
 OK = 200
@@ -33,7 +33,7 @@
 
 @dataclass
 class Load:
-    """Book from a thread until told to stop, and remember the answers."""
+    """Send bookings from a thread until stopped, and record the responses."""
 
     deployment: Deployment
     entries: list[str]
@@ -42,7 +42,7 @@
     stopping: threading.Event = field(default_factory=threading.Event)
 
     def run(self) -> None:
-        """Book a new key each time, through the entries in turn."""
+        """Send each booking with a new key, through the entries in turn."""
         number = 0
         while not self.stopping.is_set():
             body = f"{self.prefix}-{number}"
@@ -52,7 +52,7 @@
 
 
 def book(deployment: Deployment, entry: str, body: str) -> httpcore.Response:
-    """Book under a key that equals the body."""
+    """Send a booking with a key that equals the body."""
     headers = {"authorization": f"Bearer {ACCOUNT_KEY}", "idempotency-key": body}
     address = deployment.entry_address(entry)
     url = f"http://{address}/v1/services/diary/bookings"
@@ -60,7 +60,7 @@
 
 
 def outcome(response: httpcore.Response) -> str:
-    """Return the promise of a failed answer, or nothing."""
+    """Return the outcome header of a failed response, empty if it has none."""
     return dict(response.headers).get(b"briarthread-outcome", b"").decode()
 
 
@@ -84,14 +84,14 @@
 
 
 def restart_agent(deployment: Deployment, name: str) -> None:
-    """Start the agent of a target anew."""
-    _, data_centre, number = name.rsplit("-", 2)
-    deployment.start_target(data_centre, "diary", "plain_service", int(number))
+    """Restart the agent of a target."""
+    _, data_centre, agent_number = name.rsplit("-", 2)
+    deployment.start_target(data_centre, "diary", "plain_service", int(agent_number))
     deployment.wait_ready()
 
 
-def under_load(deployment: Deployment, prefix: str, fault: object) -> Load:
-    """Bring a fault about while bookings run, and return what they got."""
+def run_under_load(deployment: Deployment, prefix: str, fault: object) -> Load:
+    """Cause a fault while bookings are sent, and return the load with its responses."""
     load = Load(deployment, DATA_CENTRES, prefix)
     thread = threading.Thread(target=load.run)
     thread.start()
@@ -104,9 +104,9 @@
 
 
 def check_load(deployment: Deployment, name: str, load: Load) -> bool:
-    """Check the answers of a load against what ran."""
+    """Check the responses of a load against the bookings that ran."""
     counts = runs(deployment)
-    doubles = [body for body in load.answers if counts[body] > 1]
+    repeated_runs = [body for body in load.answers if counts[body] > 1]
     false_not_run = [
         body
         for body, answer in load.answers.items()
@@ -114,31 +114,33 @@
     ]
     unserved = [b for b, a in load.answers.items() if a.status == OK and not counts[b]]
     statuses = Counter(answer.status for answer in load.answers.values())
-    good = not doubles and not false_not_run and not unserved
+    passed = not repeated_runs and not false_not_run and not unserved
     print(
-        f"{'ok' if good else 'FAILED'}: {name}: {dict(statuses)}, doubles "
-        f"{len(doubles)}, false not-run {len(false_not_run)}",
+        f"{'ok' if passed else 'FAILED'}: {name}: {dict(statuses)}, doubles "
+        f"{len(repeated_runs)}, false not-run {len(false_not_run)}",
         flush=True,
     )
-    return good
+    return passed
 
 
 def kill_and_replace(deployment: Deployment) -> bool:
-    """Kill a holder, replace it, ask again elsewhere."""
-    book(deployment, HOME, "first")
+    """Kill a holder, replace it and repeat the request through another entry."""
+    book(deployment, HOME_DATA_CENTRE, "first")
     name = holder_of(deployment, "first")
     deployment.processes[name].handle.kill()
     deployment.processes[name].handle.wait()
     restart_agent(deployment, name)
-    again = book(deployment, "messina", "first")
-    good = outcome(again) == "unknown" and runs(deployment)["first"] == 1
-    print(f"{'ok' if good else 'FAILED'}: killed holder: {again.status}", flush=True)
-    return good
+    repeated = book(deployment, "messina", "first")
+    passed = outcome(repeated) == "unknown" and runs(deployment)["first"] == 1
+    print(
+        f"{'ok' if passed else 'FAILED'}: killed holder: {repeated.status}", flush=True
+    )
+    return passed
 
 
 def freeze_holder(deployment: Deployment) -> bool:
     """Freeze an agent of the home data centre under load."""
-    handle = deployment.processes[f"diary-{HOME}-0"].handle
+    handle = deployment.processes[f"diary-{HOME_DATA_CENTRE}-0"].handle
 
     def fault() -> None:
         handle.send_signal(signal.SIGSTOP)
@@ -146,34 +148,38 @@
         handle.send_signal(signal.SIGCONT)
         time.sleep(FREEZE_SECONDS)
 
-    return check_load(deployment, "frozen agent", under_load(deployment, "f", fault))
+    return check_load(
+        deployment, "frozen agent", run_under_load(deployment, "f", fault)
+    )
 
 
 def kill_under_load(deployment: Deployment) -> bool:
     """Kill an agent under load and replace it."""
 
     def fault() -> None:
-        handle = deployment.processes[f"diary-{HOME}-1"].handle
+        handle = deployment.processes[f"diary-{HOME_DATA_CENTRE}-1"].handle
         handle.kill()
         handle.wait()
-        restart_agent(deployment, f"diary-{HOME}-1")
+        restart_agent(deployment, f"diary-{HOME_DATA_CENTRE}-1")
 
-    return check_load(deployment, "killed agent", under_load(deployment, "k", fault))
+    return check_load(
+        deployment, "killed agent", run_under_load(deployment, "k", fault)
+    )
 
 
-def roll(deployment: Deployment) -> bool:
-    """Replace the agents of a data centre by planned stops under load."""
+def restart_in_turn(deployment: Deployment) -> bool:
+    """Restart the agents of a data centre one by one under load."""
 
     def fault() -> None:
-        for number in range(2):
-            name = f"diary-catania-{number}"
+        for agent_number in range(2):
+            name = f"diary-catania-{agent_number}"
             handle = deployment.processes[name].handle
             handle.terminate()
             handle.wait()
             restart_agent(deployment, name)
 
-    load = under_load(deployment, "r", fault)
-    good = check_load(deployment, "planned stops", load)
+    load = run_under_load(deployment, "r", fault)
+    passed = check_load(deployment, "planned stops", load)
     failed = [a.status for a in load.answers.values() if a.status != OK]
     quarantined = [a for a in load.answers.values() if outcome(a) == "unknown"]
     verdict = "FAILED" if failed else "ok"
@@ -181,7 +187,7 @@
         f"{verdict}: planned stops: {len(failed)} failed, "
         f"{len(quarantined)} of them unknown"
     )
-    return good and not failed
+    return passed and not failed
 
 
 def main() -> int:
@@ -199,7 +205,7 @@
             deployment.apply(text)
             deployment.wait_ready()
             deployment.wait_shares(["diary"], SHARES)
-            checks = [roll, kill_and_replace, freeze_holder, kill_under_load]
+            checks = [restart_in_turn, kill_and_replace, freeze_holder, kill_under_load]
             results = [check(deployment) for check in checks]
         finally:
             deployment.stop()
