--- a/packages/entry/src/briarthread_entry/commands/explain.py
+++ b/packages/entry/src/briarthread_entry/commands/explain.py
@@ -28,7 +28,7 @@
 Options:
   --at=ADDRESS  IP:PORT of the entry or agent to ask.
   --log=FILE    Logs of one or more processes, - for standard input. The state
-                that those which name SUBJECT logged at the time is printed, too.
+                logged at the time by those that name SUBJECT is printed, too.
 
 SUBJECT is a request id, or the name of an instance, account or service. It
 exits with 0, with 1 when nothing is known of SUBJECT (a process keeps its
--- a/packages/entry/src/briarthread_entry/serving/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_sender.py
@@ -51,9 +51,9 @@
 """Time before the deadline at which the final response is prepared, in seconds."""
 MAX_SENDS = 3
 """
-How often an attempt is sent to its agent.
+Maximum number of times that an attempt is sent to its agent.
 
-After a broken connection to a running attempt it is sent again.
+It is sent again if the connection breaks while the attempt runs.
 """
 
 
@@ -93,9 +93,7 @@
             if not isinstance(outcome, OutcomeUnknown):
                 return outcome
             if call.started:
-                raise AnswerAborted(
-                    "the connection to the agent broke during the response"
-                )
+                raise AnswerAborted("the response was cut off")
             if self._remaining_seconds(attempt) <= 0:
                 return outcome
             revoke_state = await self._revoke(attempt, target)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -126,19 +126,19 @@
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.late_writes = 1
         users_store.late = 0.5
-        taken: list[int | None] = []
+        tokens: list[int | None] = []
 
         async def slow() -> None:
             try:
-                taken.append(await client.acquire_role("maps/g", "agent-1"))
+                tokens.append(await client.acquire_role("maps/g", "agent-1"))
             except PlatformError:
-                taken.append(None)
+                tokens.append(None)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(slow)
             await anyio.sleep(0.1)
             assert await client.acquire_role("maps/g", "agent-2") is not None
-        assert taken == [None]
+        assert tokens == [None]
         assert users_store.value("seats", "maps/g") == b"agent-2"
 
     with_store(scenario)
