--- a/packages/entry/src/briarthread_entry/commands/status.py
+++ b/packages/entry/src/briarthread_entry/commands/status.py
@@ -8,11 +8,11 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_entry.commands.base import Arguments, Command
 
-TIMEOUT = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
 class StatusCommand(Command):
-    """Print what processes say of themselves."""
+    """Print the state that processes report."""
 
     usage = """
 Print the state of entries and agents, one JSON object each.
@@ -25,11 +25,17 @@
 """
 
     async def run(self, arguments: Arguments) -> ExitCode:
-        """Ask each address in turn."""
+        """Query each address in turn."""
         code = ExitCode.DONE
         for address in arguments["ADDRESS"]:
             status = await call_json(
-                self.channel, address, "GET", "/status", None, dict[str, Any], TIMEOUT
+                self.channel,
+                address,
+                "GET",
+                "/status",
+                None,
+                dict[str, Any],
+                TIMEOUT_SECONDS,
             )
             print(msgspec.json.format(msgspec.json.encode(status)).decode())
             if status.get("ready") != "yes":
--- a/packages/entry/src/briarthread_entry/serving/read_outcome.py
+++ b/packages/entry/src/briarthread_entry/serving/read_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of an exchange with an agent says of an attempt."""
+"""Outcomes of an attempt, as the end of an exchange with an agent shows them."""
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
@@ -7,17 +7,17 @@
 from briarthread_entry.serving.attempt_outcome import (
     AttemptOutcome,
     Failed,
-    Lost,
     NotRun,
+    OutcomeUnknown,
 )
 
 
 def read_refusal(result: str, response: ChannelResponse) -> AttemptOutcome:
-    """Return what an answer other than the target's says of the attempt."""
+    """Return the outcome for a response that does not come from the target."""
     try:
         kind = ErrorKind(result)
     except ValueError:
-        return lost(f"the agent answered {response.status} without a result")
+        return outcome_unknown(f"the agent answered {response.status} without a result")
     retry_after = response.headers.get("retry-after")
     outcome = response.headers.get("briarthread-outcome")
     error = RequestError(
@@ -33,12 +33,14 @@
 
 def revoked() -> NotRun:
     """Return the outcome of an attempt that its agent has revoked."""
-    return NotRun(RequestError(ErrorKind.REVOKED, "silent agent; attempt revoked"))
+    return NotRun(
+        RequestError(ErrorKind.REVOKED, "no response from the agent; attempt revoked")
+    )
 
 
-def too_late() -> Lost:
-    """Return the outcome of an attempt whose agent is alive but too slow."""
-    return Lost(
+def deadline_passed() -> OutcomeUnknown:
+    """Return the outcome of an attempt whose agent is alive but too slow to respond."""
+    return OutcomeUnknown(
         RequestError(
             ErrorKind.DEADLINE_PASSED,
             "no answer before the deadline",
@@ -47,6 +49,6 @@
     )
 
 
-def lost(detail: str) -> Lost:
-    """Return the outcome of an attempt of which nothing is known."""
-    return Lost(RequestError(ErrorKind.OUTCOME_UNKNOWN, detail))
+def outcome_unknown(detail: str) -> OutcomeUnknown:
+    """Return the outcome of an attempt that may have run or not."""
+    return OutcomeUnknown(RequestError(ErrorKind.OUTCOME_UNKNOWN, detail))
