--- a/packages/entry/src/briarthread_entry/direct/issuer_order.py
+++ b/packages/entry/src/briarthread_entry/direct/issuer_order.py
@@ -4,8 +4,8 @@
 The issuer is an entry in the target's own data centre. If that data centre is cut off,
 entries outside reach neither the target nor the issuer, and entries inside reach both.
 While entries disagree on which entries exist, several may issue tokens at the same
-time. The share therefore decreases along the order: a target gets 1.5 times its limit
-then, and twice the limit at most.
+time. The share therefore decreases along the order: with two issuers a target gets 1.5
+times its limit, with any number of them twice the limit at most.
 """
 
 from collections.abc import Mapping
--- a/packages/entry/src/briarthread_entry/direct/targets_closed.py
+++ b/packages/entry/src/briarthread_entry/direct/targets_closed.py
@@ -1,4 +1,4 @@
-"""The exception for the case that no target accepts a request."""
+"""Exception raised when no target accepts a request."""
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import BriarthreadError
