--- a/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
+++ b/packages/agent/src/briarthread_agent/attempts/attempt_handler.py
@@ -6,13 +6,16 @@
 from briarthread_agent.attempts.attempt_runner import AttemptRunner
 from briarthread_agent.attempts.record import Record
 from briarthread_agent.reports.load_reporter import LoadReporter
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
-from briarthread_common.http.passed_headers import PASSED_ON, STREAM_TYPE
+from briarthread_common.http.forwarded_headers import (
+    FORWARDED_REQUEST_HEADERS,
+    STREAM_CONTENT_TYPE,
+)
 from briarthread_common.messages.attempt import (
     ANSWERED,
     ATTEMPT_HEADER,
@@ -77,7 +80,9 @@
             raise RequestError(
                 ErrorKind.UNKNOWN_SERVICE, f"{attempt.service} is not served here"
             )
-        headers = tuple((k, v) for k, v in call.headers.items() if k in PASSED_ON)
+        headers = tuple(
+            (k, v) for k, v in call.headers.items() if k in FORWARDED_REQUEST_HEADERS
+        )
         body = await call.read_body(service.body_bytes)
         return self.runner.submit(attempt, service, headers, body)
 
@@ -88,7 +93,7 @@
                 await self._send_response(call, record)
             except RequestError as error:
                 if call.started:
-                    raise AnswerAborted(str(error)) from error
+                    raise ResponseAborted(str(error)) from error
                 await self._refuse(call, error)
             tasks.cancel_scope.cancel()
 
@@ -96,7 +101,9 @@
         response = record.response
         await response.wait_for_head()
         is_stream = (
-            dict(response.headers).get("content-type", "").startswith(STREAM_TYPE)
+            dict(response.headers)
+            .get("content-type", "")
+            .startswith(STREAM_CONTENT_TYPE)
         )
         if not is_stream:
             await response.wait_for_end()
@@ -112,7 +119,7 @@
     async def _refuse(self, call: Call, error: RequestError) -> None:
         self.metrics.refusals.labels(str(error.kind)).inc()
         headers = [(RESULT_HEADER, str(error.kind)), self._load_header()]
-        await call.reply_error(error, ERROR_ANSWERS[error.kind].status, headers)
+        await call.reply_error(error, ERROR_RESPONSES[error.kind].status, headers)
 
     def _load_header(self) -> tuple[str, str]:
         report = msgspec.json.encode(self.reporter.report())
--- a/packages/agent/src/briarthread_agent/attempts/target_client.py
+++ b/packages/agent/src/briarthread_agent/attempts/target_client.py
@@ -7,13 +7,13 @@
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import (
     BrokenCallError,
-    NotWrittenError,
     RequestError,
+    RequestNotSentError,
 )
 from briarthread_common.core.outcome import Outcome
 from briarthread_common.direct.response_signals import read_response_signals
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
-from briarthread_common.http.passed_headers import PASSED_BACK
+from briarthread_common.http.forwarded_headers import FORWARDED_RESPONSE_HEADERS
 from briarthread_common.messages.attempt import Attempt
 
 LEAVING_HEADER = "target-leaving"
@@ -58,7 +58,7 @@
                 async for chunk in response.body:
                     buffer.add(chunk)
             buffer.finish()
-        except NotWrittenError as error:
+        except RequestNotSentError as error:
             buffer.fail(RequestError(ErrorKind.NO_TARGET, str(error)))
         except BrokenCallError as error:
             buffer.fail(
@@ -77,4 +77,4 @@
 
 
 def _relayed_headers(headers: object) -> Headers:
-    return tuple((k, v) for k, v in headers.items() if k in PASSED_BACK)
+    return tuple((k, v) for k, v in headers.items() if k in FORWARDED_RESPONSE_HEADERS)
--- a/packages/agent/src/briarthread_agent/maps/map_handlers.py
+++ b/packages/agent/src/briarthread_agent/maps/map_handlers.py
@@ -7,7 +7,7 @@
 from briarthread_common.http.call import Call
 from briarthread_common.http.channel_calls import MAX_MESSAGE_BYTES
 from briarthread_common.messages.engine_order import OrderKind
-from briarthread_common.messages.expert_map import NO_MAP, ExpertMap
+from briarthread_common.messages.expert_map import NO_MAP_VERSION, ExpertMap
 from briarthread_common.messages.map_messages import (
     ANNOUNCE_PATH,
     CONFIRM_PATH,
@@ -141,7 +141,7 @@
             state.version,
             scheduled=state.scheduled,
             switch_step=state.hold_step if decided else 0,
-            pending=NO_MAP if decided else state.hold_for,
+            pending=NO_MAP_VERSION if decided else state.hold_for,
         )
         await call.reply_json(standing)
 
--- a/packages/agent/src/briarthread_agent/maps/map_participant.py
+++ b/packages/agent/src/briarthread_agent/maps/map_participant.py
@@ -9,7 +9,7 @@
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.messages.engine_order import EngineState, OrderKind
-from briarthread_common.messages.expert_map import FIRST_MAP, NO_MAP
+from briarthread_common.messages.expert_map import FIRST_MAP_VERSION, NO_MAP_VERSION
 from briarthread_common.messages.map_messages import (
     Verdict,
 )
@@ -58,7 +58,7 @@
         self.text = text
         self.peers = peers
         self.events = events
-        self.pending_version = NO_MAP
+        self.pending_version = NO_MAP_VERSION
         self.decision = Decision.REFUSED
         self.refused_versions: set[int] = set()
         self.ready = anyio.Event()
@@ -102,10 +102,12 @@
         if state.hold_for and not state.scheduled:
             self._adopt_hold(state)
             await self._handle_hold(state)
-        elif state.version == NO_MAP:
+        elif state.version == NO_MAP_VERSION:
             await self._load_group_map()
-        elif state.hold_for == NO_MAP and self.decision is not Decision.ANNOUNCED:
-            self.pending_version = NO_MAP
+        elif (
+            state.hold_for == NO_MAP_VERSION and self.decision is not Decision.ANNOUNCED
+        ):
+            self.pending_version = NO_MAP_VERSION
 
     async def _handle_hold(self, state: EngineState) -> None:
         if self.decision is Decision.CONFIRMED:
@@ -151,7 +153,7 @@
         if kind is OrderKind.SWITCH:
             self.decision = Decision.CONFIRMED
         else:
-            self.pending_version = NO_MAP
+            self.pending_version = NO_MAP_VERSION
         self.events.add(f"map-{kind}", f"map/{version}", reason)
 
     async def holds_for(self, version: int) -> bool:
@@ -188,7 +190,7 @@
         if pending or len(active_maps) > 1:
             return
         version, scheduled, step = (
-            active_maps.pop() if active_maps else (FIRST_MAP, NO_MAP, 0)
+            active_maps.pop() if active_maps else (FIRST_MAP_VERSION, NO_MAP_VERSION, 0)
         )
         await self.engine.order(OrderKind.LOAD, version, step, scheduled)
         self.events.add("map-load", f"map/{version}", "as the rest of the group")
--- a/packages/agent/src/briarthread_agent/ranks/direct_agent.py
+++ b/packages/agent/src/briarthread_agent/ranks/direct_agent.py
@@ -37,7 +37,9 @@
 from briarthread_common.spread.long_poll_replicator import LongPollReplicator
 from briarthread_common.utils.clock import Clock
 
-CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=0.8, max_idle=4)
+CHANNEL_OPTIONS = ChannelOptions(
+    connect_timeout=0.4, user_timeout_seconds=0.8, max_idle=4
+)
 """Timeouts are short: the engine, peers and the store answer in milliseconds."""
 GROUP_CHECK_SECONDS = 1.0
 """How often the group of the agent's rank is compared with the registered one."""
--- a/packages/agent/src/briarthread_agent/ranks/group_caller.py
+++ b/packages/agent/src/briarthread_agent/ranks/group_caller.py
@@ -25,14 +25,14 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_common.http.json_route import json_route
 from briarthread_common.messages.rank_messages import (
-    GROUP_PATHS,
-    MAX_RANK_BODY,
+    MAX_RANK_BODY_BYTES,
     RELAY_PATH,
+    RELAYED_PATHS,
     RelayAnswer,
     RelayedMessage,
     RelayRequest,
 )
-from briarthread_common.utils.passed_over import PassedOver
+from briarthread_common.utils.recent_failures import RecentFailures
 
 T = TypeVar("T")
 MAX_DIRECT_CALLS = 24
@@ -54,11 +54,13 @@
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
-        self.excluded_relays = PassedOver(RELAY_EXCLUSION_SECONDS)
+        self.excluded_relays = RecentFailures(RELAY_EXCLUSION_SECONDS)
 
     def routes(self) -> list[Route]:
         """Return the route on which other agents request that calls be relayed."""
-        return [json_route(RELAY_PATH, RelayRequest, self.handle_relay, MAX_RANK_BODY)]
+        return [
+            json_route(RELAY_PATH, RelayRequest, self.handle_relay, MAX_RANK_BODY_BYTES)
+        ]
 
     async def call(
         self,
@@ -70,7 +72,7 @@
         """Send each address its message; return the received answers by address."""
         if len(messages) <= MAX_DIRECT_CALLS:
             return await call_many(
-                self.channel, path, messages, answer_type, seconds, packed=True
+                self.channel, path, messages, answer_type, seconds, compressed=True
             )
         answers: dict[str, T] = {}
 
@@ -100,14 +102,14 @@
                 )
             except ChannelError as error:
                 logger.info("rank: {} failed to relay calls: {}", relay, error)
-                self.excluded_relays.note(relay)
+                self.excluded_relays.add(relay)
         return await call_many(
-            self.channel, path, messages, answer_type, seconds, packed=True
+            self.channel, path, messages, answer_type, seconds, compressed=True
         )
 
     def _choose_relay(self, batch: list[str]) -> str | None:
         """Return the agent that is to relay calls to a batch, or ``None``."""
-        candidates = self.excluded_relays.others(batch)
+        candidates = self.excluded_relays.without_recent(batch)
         return candidates[0] if candidates and len(batch) >= MIN_RELAY_BATCH else None
 
     async def _call_through_relay(
@@ -129,7 +131,7 @@
             relay_request,
             RelayAnswer,
             seconds,
-            packed=True,
+            compressed=True,
         )
         answers: dict[str, T] = {}
         for address in messages.keys() & relay_answer.answers.keys():
@@ -143,7 +145,7 @@
 
     async def handle_relay(self, request: RelayRequest) -> RelayAnswer:
         """Call agents on behalf of another one and return their answers."""
-        if request.path not in GROUP_PATHS:
+        if request.path not in RELAYED_PATHS:
             raise RequestError(ErrorKind.BAD_REQUEST, f"{request.path} is not relayed")
         messages = {
             address: relayed.message
@@ -156,7 +158,7 @@
             messages,
             msgspec.Raw,
             request.seconds,
-            packed=True,
+            compressed=True,
         )
         return RelayAnswer(answers)
 
--- a/packages/agent/src/briarthread_agent/ranks/map_change.py
+++ b/packages/agent/src/briarthread_agent/ranks/map_change.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from briarthread_common.direct.rank_client import Layers
-from briarthread_common.messages.expert_map import NO_MAP, even_map
-from briarthread_common.messages.rank_messages import DealtMap, RankExperts
+from briarthread_common.messages.expert_map import NO_MAP_VERSION, round_robin_map
+from briarthread_common.messages.rank_messages import RankExperts, RoundRobinMap
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,11 +24,11 @@
     base: int
     base_layers: Layers
 
-    def round_robin_base(self) -> DealtMap | None:
+    def round_robin_base(self) -> RoundRobinMap | None:
         """Describe the base map if it assigns experts to ranks round-robin."""
         ranks = len(self.base_layers[0])
         experts = len({expert for rank in self.base_layers[0] for expert in rank})
-        candidate = DealtMap(len(self.base_layers), experts, ranks)
+        candidate = RoundRobinMap(len(self.base_layers), experts, ranks)
         return candidate if round_robin_layers(candidate) == self.base_layers else None
 
     def differences(self) -> list[RankExperts]:
@@ -43,14 +43,16 @@
         ]
 
 
-def round_robin_layers(dealt: DealtMap) -> Layers:
+def round_robin_layers(dealt: RoundRobinMap) -> Layers:
     """
     Return the layers of a map that assigns experts to ranks round-robin.
 
-    >>> round_robin_layers(DealtMap(sets=1, experts=5, ranks=2))
+    >>> round_robin_layers(RoundRobinMap(sets=1, experts=5, ranks=2))
     [[[0, 2, 4], [1, 3]]]
     """
-    return even_map(NO_MAP, dealt.sets, dealt.experts, dealt.ranks).layers
+    return round_robin_map(
+        NO_MAP_VERSION, dealt.sets, dealt.experts, dealt.ranks
+    ).layers
 
 
 def apply_differences(base: Layers, differences: list[RankExperts]) -> Layers:
--- a/packages/agent/src/briarthread_agent/ranks/rank_controller.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_controller.py
@@ -20,8 +20,8 @@
     ANY_GROUP,
     ARM_PATH,
     GO_PATH,
-    LONG_SILENCE,
-    MAX_RANK_BODY,
+    MAX_PLANNER_SILENCE_SECONDS,
+    MAX_RANK_BODY_BYTES,
     NO_FENCE,
     QUERY_PATH,
     REVOKE_PATH,
@@ -118,7 +118,7 @@
         """Return the routes that planners, other agents and entries call."""
         return [
             json_route(QUERY_PATH, RankQuery, self.query),
-            json_route(STAGE_PATH, StageRequest, self.stage, MAX_RANK_BODY),
+            json_route(STAGE_PATH, StageRequest, self.stage, MAX_RANK_BODY_BYTES),
             json_route(ACCEPT_PATH, AcceptRequest, self.accept),
             json_route(WITHDRAW_PATH, WithdrawRequest, self.withdraw),
             json_route(ARM_PATH, ArmRequest, self.arm),
@@ -159,7 +159,9 @@
         except RankError as error:
             logger.debug("rank: {}", error)
             return RankAnswer(True)
-        silence = min(anyio.current_time() - self.planner_seen_at, LONG_SILENCE)
+        silence = min(
+            anyio.current_time() - self.planner_seen_at, MAX_PLANNER_SILENCE_SECONDS
+        )
         unit = self.demand.count_unit() if counts else 1.0
         return RankAnswer(
             True, state, counts, experts, silence, unit, self.newest_version
--- a/packages/agent/src/briarthread_agent/ranks/rank_peers.py
+++ b/packages/agent/src/briarthread_agent/ranks/rank_peers.py
@@ -23,7 +23,7 @@
 )
 from briarthread_common.spread.directory import Directory
 from briarthread_common.utils.host_of import host_of
-from briarthread_common.utils.passed_over import PassedOver
+from briarthread_common.utils.recent_failures import RecentFailures
 
 T = TypeVar("T")
 CALL_TIMEOUT_SECONDS = 0.6
@@ -76,7 +76,7 @@
         self.caller = GroupCaller(channel)
         self.reported_groups: dict[str, str] = {}
         self.last_search_at = float("-inf")
-        self.skipped_agents = PassedOver(SKIP_AGENT_SECONDS)
+        self.skipped_agents = RecentFailures(SKIP_AGENT_SECONDS)
         self.targets_number = -1
         self.engines: dict[str, str] = {}
 
@@ -128,7 +128,7 @@
         addresses = self.addresses(group)
         messages = {
             address: with_counts if address in counted else query
-            for address in self.skipped_agents.others(addresses)
+            for address in self.skipped_agents.without_recent(addresses)
         }
         answers = await self._query(messages)
         current = build_view(group, answers)
@@ -136,7 +136,7 @@
             return current
         if current.members and not current.broken:
             without_answer = frozenset(addresses) - frozenset(answers)
-            self.skipped_agents.note(*without_answer & messages.keys())
+            self.skipped_agents.add(*without_answer & messages.keys())
             answers |= await self._query_engines(without_answer, query)
             current = build_view(group, answers, without_answer)
         others = set(self.addresses()) - set(addresses)
--- a/packages/agent/src/briarthread_agent/shares/holder_probe.py
+++ b/packages/agent/src/briarthread_agent/shares/holder_probe.py
@@ -5,7 +5,7 @@
 from briarthread_common.core.exceptions import ChannelError, ConnectionRefused
 from briarthread_common.http.channel import Channel
 from briarthread_common.http.channel_calls import call_json
-from briarthread_common.messages.hello import HELLO_PATH, HELLO_TIMEOUT, Hello
+from briarthread_common.messages.hello import HELLO_PATH, HELLO_TIMEOUT_SECONDS, Hello
 
 
 class ProbeResult(StrEnum):
@@ -25,7 +25,7 @@
 async def fetch_hello(channel: Channel, address: str) -> Hello:
     """Return the identity of the process at an address or raise ChannelError."""
     return await call_json(
-        channel, address, "GET", HELLO_PATH, None, Hello, HELLO_TIMEOUT
+        channel, address, "GET", HELLO_PATH, None, Hello, HELLO_TIMEOUT_SECONDS
     )
 
 
--- a/packages/common/src/briarthread_common/core/event_log.py
+++ b/packages/common/src/briarthread_common/core/event_log.py
@@ -22,10 +22,12 @@
         """Record a decision about a subject and log it."""
         event = Event(self.clock.now(), decision, subject, reason, request)
         self.ring.append(event)
-        about = f" request={request}" if request else ""
-        logger.info("{}: {} {}{}: {}", self.prefix, decision, subject, about, reason)
+        events_for = f" request={request}" if request else ""
+        logger.info(
+            "{}: {} {}{}: {}", self.prefix, decision, subject, events_for, reason
+        )
 
-    def about(self, subject: str) -> list[Event]:
+    def events_for(self, subject: str) -> list[Event]:
         """Return the events about a request id or a subject, oldest first."""
         return [
             event
--- a/packages/common/src/briarthread_common/core/exceptions.py
+++ b/packages/common/src/briarthread_common/core/exceptions.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from briarthread_common.core.check_message import CheckMessage
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.outcome import Outcome
 
 
@@ -29,7 +29,7 @@
         retry_after: float | None = None,
     ) -> None:
         super().__init__(f"{kind}: {detail}")
-        row = ERROR_ANSWERS[kind]
+        row = ERROR_RESPONSES[kind]
         self.kind = kind
         self.detail = detail
         self.outcome = outcome or row.outcome
@@ -48,11 +48,11 @@
     """A call to another process failed."""
 
 
-class NotWrittenError(ChannelError):
+class RequestNotSentError(ChannelError):
     """Nothing of the call was written: the other side cannot have seen it."""
 
 
-class ConnectionRefused(NotWrittenError):  # noqa: N818
+class ConnectionRefused(RequestNotSentError):  # noqa: N818
     """The address refused the connection: no process listens there."""
 
 
@@ -60,7 +60,7 @@
     """The call broke after it may have been written."""
 
 
-class SpoiltAnswerError(BrokenCallError):
+class InvalidResponseError(BrokenCallError):
     """The answer came, and is not a proper answer to the call."""
 
 
@@ -76,7 +76,7 @@
     """A rank's engine gave no proper answer."""
 
 
-class HistoryGoneError(BriarthreadError):
+class HistoryTruncatedError(BriarthreadError):
     """The platform no longer has the changes after the version asked for."""
 
 
--- a/packages/common/src/briarthread_common/core/log_sink.py
+++ b/packages/common/src/briarthread_common/core/log_sink.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import TextIO
 
-MOST_WAITING = 2000
+MAX_QUEUED_LINES = 2000
 """Lines that wait for a reader that is slow; some 400 KB."""
-LINES_EACH_SECOND = 500
+MAX_LINES_PER_SECOND = 500
 """Lines taken in a second. A loaded entry writes some forty, so that only what
 repeats without end is left out; ten such instances fill a disk of 1 GB in an
 hour at most."""
-STOP_SECONDS = 0.5
+STOP_TIMEOUT_SECONDS = 0.5
 """Longest wait at the end for lines that are still to be written."""
 
 
@@ -29,16 +29,16 @@
         self,
         stream: TextIO,
         clock: Callable[[], float] = time.monotonic,
-        most_waiting: int = MOST_WAITING,
-        each_second: int = LINES_EACH_SECOND,
+        max_queued: int = MAX_QUEUED_LINES,
+        max_per_second: int = MAX_LINES_PER_SECOND,
     ) -> None:
         self.stream = stream
         self.clock = clock
-        self.each_second = each_second
-        self.waiting: queue.Queue[str | None] = queue.Queue(most_waiting)
+        self.max_per_second = max_per_second
+        self.waiting: queue.Queue[str | None] = queue.Queue(max_queued)
         self.second = 0
         self.taken = 0
-        self.left_out = 0
+        self.dropped = 0
         self.thread = threading.Thread(target=self._run, name="log", daemon=True)
         self.thread.start()
 
@@ -47,25 +47,25 @@
         second = int(self.clock())
         if second != self.second:
             self.second, self.taken = second, 0
-        if self.taken >= self.each_second:
-            self.left_out += 1
+        if self.taken >= self.max_per_second:
+            self.dropped += 1
             return
         self.taken += 1
-        if self.left_out:
-            line = f"logs: {self.left_out} lines were left out before this\n{line}"
+        if self.dropped:
+            line = f"logs: {self.dropped} lines were left out before this\n{line}"
         try:
             self.waiting.put_nowait(line)
-            self.left_out = 0
+            self.dropped = 0
         except queue.Full:
-            self.left_out += 1
+            self.dropped += 1
 
     def stop(self) -> None:
         """Write what waits, as far as that is read in time."""
         try:
-            self.waiting.put(None, timeout=STOP_SECONDS)
+            self.waiting.put(None, timeout=STOP_TIMEOUT_SECONDS)
         except queue.Full:
             return
-        self.thread.join(STOP_SECONDS)
+        self.thread.join(STOP_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
         while (line := self.waiting.get()) is not None:
--- a/packages/common/src/briarthread_common/core/metrics.py
+++ b/packages/common/src/briarthread_common/core/metrics.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
-STEP_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.42, 1.0, 2.5, 10.0)
+REQUEST_BUCKETS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.42, 1.0, 2.5, 10.0)
 
 
 class Metrics:
@@ -60,10 +60,10 @@
             "Answers given from memory to a key asked again.",
             registry=self.registry,
         )
-        self.seconds = Histogram(
+        self.request_seconds = Histogram(
             "briarthread_request_seconds",
             "Seconds from a request's arrival to the end of its answer.",
-            buckets=STEP_BUCKETS,
+            buckets=REQUEST_BUCKETS_SECONDS,
             registry=self.registry,
         )
 
--- a/packages/common/src/briarthread_common/http/app.py
+++ b/packages/common/src/briarthread_common/http/app.py
@@ -6,15 +6,15 @@
 
 from loguru import logger
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.exceptions import RequestError
-from briarthread_common.http.call import Call, CallerGone
+from briarthread_common.http.call import Call, CallerDisconnected
 
 Handler = Callable[[Call], Awaitable[None]]
 
 
-class AnswerAborted(Exception):  # noqa: N818
+class ResponseAborted(Exception):  # noqa: N818
     """
     An answer that had begun cannot be made whole.
 
@@ -53,15 +53,15 @@
         call = Call(scope, receive, send)
         try:
             await self._handle(call)
-        except CallerGone:
+        except CallerDisconnected:
             return
         except RequestError as error:
             await self._answer_error(call, error)
-        except AnswerAborted:
+        except ResponseAborted:
             raise
         except Exception as error:
             if _is_abort(error):
-                raise AnswerAborted(call.path) from error
+                raise ResponseAborted(call.path) from error
             logger.exception("http: handler failed on {}", call.path)
             internal = RequestError(ErrorKind.INTERNAL, "see the log")
             await self._answer_error(call, internal)
@@ -75,12 +75,12 @@
 
     async def _answer_error(self, call: Call, error: RequestError) -> None:
         if call.started:
-            raise AnswerAborted(str(error)) from error
-        await call.reply_error(error, ERROR_ANSWERS[error.kind].status)
+            raise ResponseAborted(str(error)) from error
+        await call.reply_error(error, ERROR_RESPONSES[error.kind].status)
 
 
 def _is_abort(error: Exception) -> bool:
     """Tell whether a task group failed by nothing but an aborted answer."""
     if not isinstance(error, ExceptionGroup):
         return False
-    return error.split(AnswerAborted)[1] is None
+    return error.split(ResponseAborted)[1] is None
--- a/packages/common/src/briarthread_common/http/call.py
+++ b/packages/common/src/briarthread_common/http/call.py
@@ -8,18 +8,23 @@
 
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
-from briarthread_common.http.packed import ENCODING, PACKED_HEADER, pack, unpack
+from briarthread_common.http.compression import (
+    CONTENT_ENCODING_HEADER,
+    ENCODING,
+    compress_body,
+    decompress_body,
+)
 from briarthread_common.http.problem import problem_body, problem_headers
 
 T = TypeVar("T")
 Headers = Iterable[tuple[str, str]]
 
 
-REPLY_SECONDS = 5.0
+REPLY_TIMEOUT_SECONDS = 5.0
 """Longest time that a slow reader holds a whole answer up."""
 
 
-class CallerGone(Exception):  # noqa: N818
+class CallerDisconnected(Exception):  # noqa: N818
     """The other side hung up before its answer was complete."""
 
 
@@ -28,7 +33,7 @@
     Wrap one ASGI call: its head, its body and the answer to it.
 
     ``started`` says that the answer's head was sent, ``finished`` that its
-    end was. With ``closes`` the connection takes no call after this one. Header
+    end was. With ``close_connection`` the connection takes no call after this one. Header
     names are lower case; a header given twice is refused, because two readers
     could each take another one of the two.
     """
@@ -47,7 +52,7 @@
         self.query: str = scope.get("query_string", b"").decode("latin-1")
         self.started = False
         self.finished = False
-        self.closes = False
+        self.close_connection = False
 
     @property
     def raw_path(self) -> str:
@@ -90,7 +95,7 @@
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
-                raise CallerGone
+                raise CallerDisconnected
             part = message.get("body", b"")
             size += len(part)
             if size > limit:
@@ -105,7 +110,7 @@
         """Return the body as a typed message; raise RequestError otherwise."""
         raw = await self.read_body(limit)
         if self._says(b"content-encoding", ENCODING):
-            raw = unpack(raw, limit)
+            raw = decompress_body(raw, limit)
         try:
             return msgspec.json.decode(raw, type=message_type)
         except msgspec.MsgspecError as error:
@@ -113,19 +118,19 @@
                 ErrorKind.BAD_REQUEST, f"broken JSON: {error}"
             ) from error
 
-    async def wait_disconnect(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Return when the other side has hung up."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
     async def cancel_on_disconnect(self, scope: anyio.CancelScope) -> None:
         """Cancel a scope when the other side has hung up."""
-        await self.wait_disconnect()
+        await self.wait_for_disconnect()
         scope.cancel()
 
     async def reply(self, status: int, body: bytes, headers: Headers = ()) -> None:
         """Send a whole answer; once begun, no deadline cuts it off."""
-        with anyio.move_on_after(REPLY_SECONDS, shield=True):
+        with anyio.move_on_after(REPLY_TIMEOUT_SECONDS, shield=True):
             await self.start(status, [*headers, ("content-length", str(len(body)))])
             await self.send({"type": "http.response.body", "body": body})
             self.finished = True
@@ -135,9 +140,9 @@
         body = msgspec.json.encode(message)
         fields = [("content-type", "application/json")]
         takes = self._says(b"accept-encoding", ENCODING)
-        packed = pack(body) if takes else None
-        if packed is not None:
-            body, fields = packed, [*fields, PACKED_HEADER]
+        body_compressed = compress_body(body) if takes else None
+        if body_compressed is not None:
+            body, fields = body_compressed, [*fields, CONTENT_ENCODING_HEADER]
         await self.reply(status, body, fields)
 
     async def reply_error(
@@ -152,7 +157,7 @@
         """Send the head of an answer whose body follows in chunks."""
         self.started = True
         encoded = [(name.encode(), value.encode("latin-1")) for name, value in headers]
-        if self.closes:
+        if self.close_connection:
             encoded.append((b"connection", b"close"))
         await self.send(
             {"type": "http.response.start", "status": status, "headers": encoded}
--- a/packages/common/src/briarthread_common/http/call_many.py
+++ b/packages/common/src/briarthread_common/http/call_many.py
@@ -18,13 +18,13 @@
     messages: Mapping[str, object],
     answer_type: type[T],
     timeout: float,
-    packed: bool = False,
+    compressed: bool = False,
 ) -> dict[str, T]:
     """
     Send each address its message and return the answers that came.
 
     A message of ``None`` makes a GET. Addresses that fail or take longer
-    than ``timeout`` seconds are left out of the answers; for ``packed`` see
+    than ``timeout`` seconds are left out of the answers; for ``compressed`` see
     call_json.
     """
     answers: dict[str, T] = {}
@@ -33,7 +33,14 @@
         method = "GET" if message is None else "POST"
         try:
             answers[address] = await call_json(
-                channel, address, method, path, message, answer_type, timeout, packed
+                channel,
+                address,
+                method,
+                path,
+                message,
+                answer_type,
+                timeout,
+                compressed,
             )
         except ChannelError:
             return
--- a/packages/common/src/briarthread_common/http/channel.py
+++ b/packages/common/src/briarthread_common/http/channel.py
@@ -12,7 +12,7 @@
     Describe a call: ``address`` is IP:PORT, header names lower case.
 
     A ``host`` among the headers replaces the address there. A body of
-    ``None`` sends none at all. ``fresh`` asks for a connection that carried
+    ``None`` sends none at all. ``new_connection`` asks for a connection that carried
     no call before, whose state therefore cannot be doubted.
     """
 
@@ -21,7 +21,7 @@
     path: str
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes | None = b""
-    fresh: bool = False
+    new_connection: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         """
         Send a call and give its answer while the context lasts.
 
-        Raise NotWrittenError when nothing was written, BrokenCallError when
+        Raise RequestNotSentError when nothing was written, BrokenCallError when
         something may have been.
         """
         ...
--- a/packages/common/src/briarthread_common/http/channel_calls.py
+++ b/packages/common/src/briarthread_common/http/channel_calls.py
@@ -8,12 +8,12 @@
 
 from briarthread_common.core.exceptions import BrokenCallError, RequestError
 from briarthread_common.http.channel import Channel, ChannelRequest
-from briarthread_common.http.packed import (
-    ACCEPTS_HEADER,
+from briarthread_common.http.compression import (
+    ACCEPT_ENCODING_HEADER,
+    CONTENT_ENCODING_HEADER,
     ENCODING,
-    PACKED_HEADER,
-    pack,
-    unpack,
+    compress_body,
+    decompress_body,
 )
 
 T = TypeVar("T")
@@ -42,16 +42,16 @@
     message: object,
     answer_type: type[T],
     timeout: float,
-    packed: bool = False,
+    compressed: bool = False,
 ) -> T:
     """
     Send a message as JSON and return the typed answer.
 
     Raise ChannelError when the call fails, takes longer than ``timeout``
     seconds or is answered with anything but the expected JSON. Between our own
-    processes large bodies are ``packed``.
+    processes large bodies are ``compressed``.
     """
-    request = _json_request(address, method, path, message, packed)
+    request = _json_request(address, method, path, message, compressed)
     try:
         with anyio.fail_after(timeout):
             async with channel.stream(request) as response:
@@ -62,20 +62,20 @@
         raise BrokenCallError(f"{address} answered {response.status} to {path}")
     try:
         if response.headers.get("content-encoding") == ENCODING:
-            raw = unpack(raw, MAX_MESSAGE_BYTES)
+            raw = decompress_body(raw, MAX_MESSAGE_BYTES)
         return msgspec.json.decode(raw, type=answer_type)
     except (msgspec.MsgspecError, RequestError) as error:
         raise BrokenCallError(f"{address} sent broken JSON: {error}") from error
 
 
 def _json_request(
-    address: str, method: str, path: str, message: object, packed: bool
+    address: str, method: str, path: str, message: object, compressed: bool
 ) -> ChannelRequest:
     body = b"" if message is None else msgspec.json.encode(message)
-    if not packed:
+    if not compressed:
         return ChannelRequest(method, address, path, JSON_HEADERS, body)
-    headers = (*JSON_HEADERS, ACCEPTS_HEADER)
-    small = pack(body)
+    headers = (*JSON_HEADERS, ACCEPT_ENCODING_HEADER)
+    small = compress_body(body)
     if small is not None:
-        body, headers = small, (*headers, PACKED_HEADER)
+        body, headers = small, (*headers, CONTENT_ENCODING_HEADER)
     return ChannelRequest(method, address, path, headers, body)
--- a/packages/common/src/briarthread_common/http/packed.py
+++ b/packages/common/src/briarthread_common/http/compression.py
@@ -13,24 +13,24 @@
 
 ENCODING = "deflate"
 """The content coding of RFC 9110, 8.4.1.2."""
-PACKED_HEADER = ("content-encoding", ENCODING)
-ACCEPTS_HEADER = ("accept-encoding", ENCODING)
-LEAST_BYTES = 2048
+CONTENT_ENCODING_HEADER = ("content-encoding", ENCODING)
+ACCEPT_ENCODING_HEADER = ("accept-encoding", ENCODING)
+MIN_COMPRESSED_BYTES = 2048
 """Size from which on a body is compressed: less fits into two packets anyway."""
 LEVEL = 1
 """The fastest level; a hundred kilobytes take some two milliseconds."""
 
 
-def pack(body: bytes) -> bytes | None:
+def compress_body(body: bytes) -> bytes | None:
     """Return a body compressed, ``None`` where it is too small for that."""
-    return zlib.compress(body, LEVEL) if len(body) >= LEAST_BYTES else None
+    return zlib.compress(body, LEVEL) if len(body) >= MIN_COMPRESSED_BYTES else None
 
 
-def unpack(body: bytes, limit: int) -> bytes:
+def decompress_body(body: bytes, limit: int) -> bytes:
     """
     Return a body as it was; raise RequestError if it is broken or over a limit.
 
-    >>> unpack(pack(b"x" * 5000), limit=5000) == b"x" * 5000
+    >>> decompress_body(compress_body(b"x" * 5000), limit=5000) == b"x" * 5000
     True
     """
     reader = zlib.decompressobj()
--- a/packages/common/src/briarthread_common/http/http_channel.py
+++ b/packages/common/src/briarthread_common/http/http_channel.py
@@ -8,7 +8,7 @@
 from briarthread_common.core.exceptions import (
     BrokenCallError,
     ConnectionRefused,
-    NotWrittenError,
+    RequestNotSentError,
 )
 from briarthread_common.http.channel import ChannelRequest, ChannelResponse
 from briarthread_common.http.channel_options import ChannelOptions
@@ -30,7 +30,7 @@
     @asynccontextmanager
     async def stream(self, request: ChannelRequest) -> AsyncIterator[ChannelResponse]:
         """Send a call over a kept connection; see Channel."""
-        opened = self._pool(request.address, request.fresh).stream(
+        opened = self._pool(request.address, request.new_connection).stream(
             request.method,
             _url(request),
             headers=_headers(request),
@@ -46,7 +46,7 @@
         except httpcore.ConnectError as error:
             raise ConnectionRefused(_reason(request, error)) from error
         except (httpcore.ConnectTimeout, httpcore.PoolTimeout) as error:
-            raise NotWrittenError(_reason(request, error)) from error
+            raise RequestNotSentError(_reason(request, error)) from error
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
@@ -60,16 +60,18 @@
             await pool.aclose()
         self.pools.clear()
 
-    def _pool(self, address: str, fresh: bool) -> httpcore.AsyncConnectionPool:
-        pool = self.pools.get((address, fresh))
+    def _pool(self, address: str, new_connection: bool) -> httpcore.AsyncConnectionPool:
+        pool = self.pools.get((address, new_connection))
         if pool is None:
             pool = httpcore.AsyncConnectionPool(
                 max_connections=self.options.max_connections,
-                max_keepalive_connections=0 if fresh else self.options.max_idle,
+                max_keepalive_connections=0
+                if new_connection
+                else self.options.max_idle,
                 keepalive_expiry=self.options.keepalive_seconds,
                 socket_options=self.options.socket_options(),
             )
-            self.pools[address, fresh] = pool
+            self.pools[address, new_connection] = pool
         return pool
 
 
--- a/packages/common/src/briarthread_common/http/json_route.py
+++ b/packages/common/src/briarthread_common/http/json_route.py
@@ -7,7 +7,7 @@
 from briarthread_common.http.call import Call
 
 T = TypeVar("T")
-SMALL_MESSAGE = 1000
+MAX_SMALL_MESSAGE_BYTES = 1000
 """Largest message, in bytes, that names a few numbers and a group."""
 
 
@@ -15,7 +15,7 @@
     path: str,
     message: type[T],
     answer: Callable[[T], Awaitable[object]],
-    limit: int = SMALL_MESSAGE,
+    limit: int = MAX_SMALL_MESSAGE_BYTES,
 ) -> Route:
     """
     Return a route that answers messages of a type.
--- a/packages/common/src/briarthread_common/http/problem.py
+++ b/packages/common/src/briarthread_common/http/problem.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.exceptions import RequestError
 
 PROBLEM_TYPE = "application/problem+json"
@@ -15,8 +15,8 @@
     return msgspec.json.encode(
         {
             "type": f"urn:briarthread:{error.kind}",
-            "title": ERROR_ANSWERS[error.kind].title,
-            "status": ERROR_ANSWERS[error.kind].status,
+            "title": ERROR_RESPONSES[error.kind].title,
+            "status": ERROR_RESPONSES[error.kind].status,
             "detail": error.detail,
             "outcome": error.outcome,
             "request": request_id,
--- a/packages/common/src/briarthread_common/http/report_stream.py
+++ b/packages/common/src/briarthread_common/http/report_stream.py
@@ -15,7 +15,7 @@
 
 HEARTBEAT_SECONDS = 1.0
 """Longest time between two lines, by which a reader knows that this lives."""
-SILENCE_SECONDS = 1.5
+REPORT_TIMEOUT_SECONDS = 1.5
 """Silence after which a reporter counts as lost: it sends a line each second,
 and half a second more is what a busy link may take."""
 
@@ -68,7 +68,7 @@
             await anyio.sleep(self.every)
 
 
-async def follow_reports(
+async def read_report_stream(
     channel: Channel, address: str, path: str, report: type[T]
 ) -> AsyncIterator[T]:
     """
@@ -85,7 +85,7 @@
 
 async def _next_line(lines: AsyncIterator[bytes]) -> bytes:
     line = None
-    with anyio.move_on_after(SILENCE_SECONDS) as patience:
+    with anyio.move_on_after(REPORT_TIMEOUT_SECONDS) as patience:
         line = await anext(lines, None)
     if patience.cancelled_caught:
         raise BrokenCallError("no report for too long")
--- a/packages/common/src/briarthread_common/http/server.py
+++ b/packages/common/src/briarthread_common/http/server.py
@@ -17,7 +17,7 @@
 """Longer than the client's, so that the client closes first."""
 MAX_HEADER_BYTES = 32 * 1024
 BACKLOG = 2048
-LIBRARY_LOG = logging.getLogger("uvicorn.error")
+UVICORN_LOGGER = logging.getLogger("uvicorn.error")
 """The library's log. It writes a whole traceback for each answer that is cut
 off on purpose; what led to the cut is in our own log, with the request's id."""
 
@@ -103,7 +103,7 @@
         self, app: Any, listeners: Sequence[socket.socket], drain_timeout: float
     ) -> None:
         self.listeners = list(listeners)
-        LIBRARY_LOG.setLevel(logging.CRITICAL)
+        UVICORN_LOGGER.setLevel(logging.CRITICAL)
         self.config = uvicorn.Config(
             app,
             http=_PatientProtocol,
--- a/packages/common/src/briarthread_common/http/status_pages.py
+++ b/packages/common/src/briarthread_common/http/status_pages.py
@@ -62,4 +62,4 @@
 
     async def _handle_explain(self, call: Call) -> None:
         subject = call.path.removeprefix(EXPLAIN_PREFIX)
-        await call.reply_json(self.events.about(subject))
+        await call.reply_json(self.events.events_for(subject))
--- a/packages/common/src/briarthread_common/messages/crash_words.py
+++ b/packages/common/src/briarthread_common/messages/crash_words.py
@@ -66,12 +66,12 @@
         )
 
 
-def all_words(told: Iterable[CrashWords]) -> CrashWords:
+def merge_crash_words(told: Iterable[CrashWords]) -> CrashWords:
     """
     Return what several say together.
 
     >>> one = CrashWords({"d": (CrashStrike("t-1", 1.0, 0.9),)}, {"e": 2.0})
-    >>> both = all_words([one, CrashWords({}, {"e": 1.0})])
+    >>> both = merge_crash_words([one, CrashWords({}, {"e": 1.0})])
     >>> both.cleared, len(both.strikes["d"])
     ({'e': 1.0}, 1)
     """
--- a/packages/common/src/briarthread_common/messages/expert_map.py
+++ b/packages/common/src/briarthread_common/messages/expert_map.py
@@ -2,9 +2,9 @@
 
 from dataclasses import dataclass
 
-FIRST_MAP = 1
+FIRST_MAP_VERSION = 1
 """The version that a group starts with when no rank knows another."""
-NO_MAP = 0
+NO_MAP_VERSION = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,11 +20,11 @@
     layers: list[list[list[int]]]
 
 
-def even_map(version: int, layers: int, experts: int, ranks: int) -> ExpertMap:
+def round_robin_map(version: int, layers: int, experts: int, ranks: int) -> ExpertMap:
     """
     Return the map that deals experts out to ranks in turn.
 
-    >>> even_map(1, 1, 4, 2).layers
+    >>> round_robin_map(1, 1, 4, 2).layers
     [[[0, 2], [1, 3]]]
     """
     row = [list(range(rank, experts, ranks)) for rank in range(ranks)]
--- a/packages/common/src/briarthread_common/messages/hello.py
+++ b/packages/common/src/briarthread_common/messages/hello.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 HELLO_PATH = "/agent/v1/hello"
-HELLO_TIMEOUT = 1.0
+HELLO_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/common/src/briarthread_common/messages/limit_word.py
+++ b/packages/common/src/briarthread_common/messages/limit_report.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitWord:
+class LimitReport:
     """
     State the requests a second that a target takes from all entries together.
 
@@ -17,14 +17,14 @@
     age: float = 0.0
 
 
-def newest_words(told: Iterable[Mapping[str, LimitWord]]) -> dict[str, LimitWord]:
+def newest_limits(told: Iterable[Mapping[str, LimitReport]]) -> dict[str, LimitReport]:
     """
     Return the newest word on each target.
 
-    >>> newest_words([{"t": LimitWord(2.0, 0.5)}, {"t": LimitWord(None, 0.1)}])
-    {'t': LimitWord(per_second=None, age=0.1)}
+    >>> newest_limits([{"t": LimitReport(2.0, 0.5)}, {"t": LimitReport(None, 0.1)}])
+    {'t': LimitReport(per_second=None, age=0.1)}
     """
-    newest: dict[str, LimitWord] = {}
+    newest: dict[str, LimitReport] = {}
     for words in told:
         for target, word in words.items():
             if target not in newest or word.age < newest[target].age:
--- a/packages/common/src/briarthread_common/messages/rank_messages.py
+++ b/packages/common/src/briarthread_common/messages/rank_messages.py
@@ -15,15 +15,15 @@
 GO_PATH = "/peer/v1/rank/go"
 REVOKE_PATH = "/peer/v1/rank/revoke"
 RELAY_PATH = "/peer/v1/rank/relay"
-GROUP_PATHS = (QUERY_PATH, STAGE_PATH, ARM_PATH, REVOKE_PATH)
+RELAYED_PATHS = (QUERY_PATH, STAGE_PATH, ARM_PATH, REVOKE_PATH)
 """The calls that go to all ranks of a group, which an agent passes on."""
-MAX_RANK_BODY = 4 * 1024 * 1024
+MAX_RANK_BODY_BYTES = 4 * 1024 * 1024
 """Largest message to an agent; a whole map of 129 ranks takes some 30 KB."""
 NO_FENCE = 0
 """The number of a question that is no planner's."""
 ANY_GROUP = ""
 """The name of no group: a message with it is for whatever group a rank is in."""
-LONG_SILENCE = 3600.0
+MAX_PLANNER_SILENCE_SECONDS = 3600.0
 """Seconds that are said of a planner that was never heard, or not for longer;
 JSON has no infinity."""
 
@@ -62,13 +62,13 @@
     state: RankState | None = None
     counts: list[int] = field(default_factory=list)
     experts: list[list[int]] = field(default_factory=list)
-    planner_silence: float = LONG_SILENCE
+    planner_silence: float = MAX_PLANNER_SILENCE_SECONDS
     count_unit: float = 1.0
     newest_version: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class DealtMap:
+class RoundRobinMap:
     """Describe a map that deals the experts of each set out to ranks in turn."""
 
     sets: int
@@ -107,7 +107,7 @@
     base: int
     differences: list[RankExperts] = field(default_factory=list)
     layers: Layers = field(default_factory=list)
-    dealt: DealtMap | None = None
+    dealt: RoundRobinMap | None = None
     group: str = ANY_GROUP
 
 
--- a/packages/common/src/briarthread_common/messages/running_report.py
+++ b/packages/common/src/briarthread_common/messages/running_report.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from briarthread_common.messages.crash_words import CrashWords, all_words
-from briarthread_common.messages.limit_word import LimitWord, newest_words
+from briarthread_common.messages.crash_words import CrashWords, merge_crash_words
+from briarthread_common.messages.limit_report import LimitReport, newest_limits
 
 RUNNING_PATH = "/peer/v1/running"
 """Where an entry sends its reports."""
@@ -32,7 +32,7 @@
 
     running: dict[str, int] = {}
     each: dict[str, float] = {}
-    limits: dict[str, LimitWord] = {}
+    limits: dict[str, LimitReport] = {}
     crashes: CrashWords = CrashWords()
     leaving: tuple[str, ...] = ()
     backoffs: dict[str, float] = {}
@@ -51,11 +51,11 @@
         )
 
 
-def sum_of(reports: Sequence[RunningReport]) -> RunningReport:
+def merge_reports(reports: Sequence[RunningReport]) -> RunningReport:
     """
     Return what several entries have running together, and the mean of ``each``.
 
-    >>> both = sum_of([RunningReport({"t": 1}, {"s": 0.25}), RunningReport({"t": 2})])
+    >>> both = merge_reports([RunningReport({"t": 1}, {"s": 0.25}), RunningReport({"t": 2})])
     >>> both.running, both.each
     ({'t': 3}, {'s': 0.25})
     """
@@ -66,8 +66,8 @@
         for group, seconds in report.each.items():
             seen[group].append(seconds)
     each = {name: sum(values) / len(values) for name, values in seen.items()}
-    limits = newest_words(report.limits for report in reports)
-    crashes = all_words(report.crashes for report in reports)
+    limits = newest_limits(report.limits for report in reports)
+    crashes = merge_crash_words(report.crashes for report in reports)
     leaving = merge_names(report.leaving for report in reports)
     backoffs = longest_backoffs(report.backoffs for report in reports)
     return RunningReport(dict(running), each, limits, crashes, leaving, backoffs)
--- a/packages/common/src/briarthread_common/messages/token_messages.py
+++ b/packages/common/src/briarthread_common/messages/token_messages.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass
 
-from briarthread_common.messages.limit_word import LimitWord
+from briarthread_common.messages.limit_report import LimitReport
 
 TOKENS_PATH = "/peer/v1/limit-tokens"
 """Where an entry asks the one that deals a target's limit."""
 
 
 @dataclass(frozen=True, slots=True)
-class TokenAsk:
+class TokenRequest:
     """
     Ask for one attempt at a target.
 
@@ -19,7 +19,7 @@
 
     asker: str
     target: str
-    word: LimitWord
+    word: LimitReport
     wait: float = 0.0
 
 
@@ -33,4 +33,4 @@
 
     granted: bool
     pause: float
-    word: LimitWord | None = None
+    word: LimitReport | None = None
--- a/packages/common/src/briarthread_common/platform/feed_store.py
+++ b/packages/common/src/briarthread_common/platform/feed_store.py
@@ -7,9 +7,9 @@
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.platform.table_messages import ABSENT, Row, RowCheck, RowWrite
 
-SNAPSHOT_EVERY = 64
+PATCHES_PER_SNAPSHOT = 64
 """How many patches lie between two whole copies of the feed."""
-MAX_PATCHES = 2 * SNAPSHOT_EVERY
+MAX_PATCHES = 2 * PATCHES_PER_SNAPSHOT
 
 
 class FeedStore:
@@ -33,7 +33,7 @@
         """Return the key of the patch that leads to a version."""
         return f"feeds/{self.feed}/patches/{number}"
 
-    def whole_key(self) -> str:
+    def snapshot_key(self) -> str:
         """Return the key of the newest whole copy."""
         return f"feeds/{self.feed}/whole"
 
@@ -74,9 +74,9 @@
             RowWrite(self.head_key(), str(patch.number)),
             RowWrite(self.patch_key(patch.number), _encode(patch)),
         ]
-        if base % SNAPSHOT_EVERY == 0:
+        if base % PATCHES_PER_SNAPSHOT == 0:
             copy = FeedPatch(self.feed, SNAPSHOT_BASE, patch.number, dict(whole))
-            writes.append(RowWrite(self.whole_key(), _encode(copy)))
+            writes.append(RowWrite(self.snapshot_key(), _encode(copy)))
         if patch.number > MAX_PATCHES:
             writes.append(RowWrite(self.patch_key(patch.number - MAX_PATCHES), None))
         check = RowCheck(self.head_key(), head.version if head else ABSENT)
@@ -94,7 +94,7 @@
         return FeedPatch(self.feed, number, newest, changes)
 
     async def _read_whole(self, newest: int) -> FeedPatch:
-        row = await self._read_one(self.whole_key())
+        row = await self._read_one(self.snapshot_key())
         if row is None:
             raise PlatformError(f"{self.feed} has no whole copy")
         copy = _decode(row)
--- a/packages/common/src/briarthread_common/platform/lease.py
+++ b/packages/common/src/briarthread_common/platform/lease.py
@@ -19,14 +19,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseAcquired:
     """The lease is held under this fencing number, which only grows."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
-class HeldByOther:
+class LeaseHeldByOther:
     """Another one holds the lease."""
 
     holder: str
@@ -41,14 +41,14 @@
     """
 
     def __init__(
-        self, platform: PlatformClient, clock: Clock, duty: str, seconds: float
+        self, platform: PlatformClient, clock: Clock, role: str, seconds: float
     ) -> None:
         self.platform = platform
         self.clock = clock
-        self.key = f"leases/{duty}"
+        self.key = f"leases/{role}"
         self.seconds = seconds
 
-    async def take(self, holder: str) -> Held | HeldByOther:
+    async def acquire(self, holder: str) -> LeaseAcquired | LeaseHeldByOther:
         """
         Take or prolong the lease.
 
@@ -59,7 +59,7 @@
         if row is not None:
             present = msgspec.json.decode(row.value, type=LeaseRow)
             if present.holder != holder and present.expires > self.clock.now():
-                return HeldByOther(present.holder)
+                return LeaseHeldByOther(present.holder)
         version = row.version if row else ABSENT
         wanted = LeaseRow(holder, self.clock.now() + self.seconds)
         value = msgspec.json.encode(wanted).decode()
@@ -68,5 +68,5 @@
                 [RowCheck(self.key, version)], [RowWrite(self.key, value)]
             )
         except ConflictError:
-            return HeldByOther("another that was faster")
-        return Held(version + 1)
+            return LeaseHeldByOther("another that was faster")
+        return LeaseAcquired(version + 1)
--- a/packages/common/src/briarthread_common/platform/platform_client.py
+++ b/packages/common/src/briarthread_common/platform/platform_client.py
@@ -6,8 +6,8 @@
 from briarthread_common.core.exceptions import (
     ChannelError,
     ConflictError,
-    NotWrittenError,
     PlatformError,
+    RequestNotSentError,
 )
 from briarthread_common.feeds.feed_patch import FeedPatch
 from briarthread_common.http.channel import Channel
@@ -72,7 +72,7 @@
                     answer_type,
                     self.timeout,
                 )
-            except NotWrittenError as error:
+            except RequestNotSentError as error:
                 last = error
             except ChannelError as error:
                 raise PlatformError(f"platform: {error}") from error
--- a/packages/common/src/briarthread_common/spread/feed_replicator.py
+++ b/packages/common/src/briarthread_common/spread/feed_replicator.py
@@ -193,7 +193,7 @@
             message,
             Exchange,
             EXCHANGE_TIMEOUT_SECONDS,
-            packed=True,
+            compressed=True,
         )
 
     def _message_for(self, versions: dict[str, int]) -> Exchange:
--- a/packages/common/src/briarthread_common/spread/feed_source.py
+++ b/packages/common/src/briarthread_common/spread/feed_source.py
@@ -19,7 +19,7 @@
     A source that holds a call open until there is a change.
 
     ``long_poll`` returns the changes after a version, and the version up to which
-    they are complete. It raises HistoryGoneError if the source no longer has the
+    they are complete. It raises HistoryTruncatedError if the source no longer has the
     changes in between; ``read_snapshot`` then returns all items.
     """
 
--- a/packages/common/src/briarthread_common/spread/long_poll_replicator.py
+++ b/packages/common/src/briarthread_common/spread/long_poll_replicator.py
@@ -7,7 +7,7 @@
 
 from briarthread_common.core.exceptions import (
     ChannelError,
-    HistoryGoneError,
+    HistoryTruncatedError,
     PlatformError,
 )
 from briarthread_common.feeds.feed import Feed
@@ -192,7 +192,7 @@
         wait = LONG_POLL_SECONDS if self.health.up else 0.0
         try:
             return await self.long_poll_source.long_poll(feed.name, cursor, wait)
-        except HistoryGoneError as error:
+        except HistoryTruncatedError as error:
             logger.info("spread: {}: {}; reading a snapshot", feed.name, error)
             return await self.long_poll_source.read_snapshot(feed.name)
 
--- a/packages/common/src/briarthread_common/text/text_store.py
+++ b/packages/common/src/briarthread_common/text/text_store.py
@@ -19,7 +19,7 @@
 
 META = "@meta"
 """The item of the feed that says who applied the version."""
-TRY_BYTES = 8
+TRY_ID_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class Superseded:
     """Another version was accepted; nothing of this text is in force."""
 
     number: int
@@ -54,7 +54,7 @@
     sections: dict[str, str]
 
 
-ApplyResult = Accepted | Unchanged | Lost
+ApplyResult = Accepted | Unchanged | Superseded
 
 
 def without_meta(sections: Mapping[str, str]) -> dict[str, str]:
@@ -85,7 +85,7 @@
         if not changes and current:
             return Unchanged(current)
         self._check_change(base, items, new)
-        meta = Meta(by, now, secrets.token_hex(TRY_BYTES))
+        meta = Meta(by, now, secrets.token_hex(TRY_ID_BYTES))
         changes[META] = msgspec.json.encode(meta).decode()
         whole = {**sections, META: changes[META]}
         try:
@@ -123,8 +123,8 @@
         return patch.number, {k: v for k, v in patch.changes.items() if v is not None}
 
 
-def _lost(number: int, items: dict[str, str]) -> Lost:
-    return Lost(number, _meta(items).by, without_meta(items))
+def _lost(number: int, items: dict[str, str]) -> Superseded:
+    return Superseded(number, _meta(items).by, without_meta(items))
 
 
 def _meta(items: Mapping[str, str | None]) -> Meta:
--- a/packages/common/src/briarthread_common/utils/passed_over.py
+++ b/packages/common/src/briarthread_common/utils/recent_failures.py
@@ -5,7 +5,7 @@
 import anyio
 
 
-class PassedOver:
+class RecentFailures:
     """
     Remember for some seconds who did not answer.
 
@@ -17,12 +17,12 @@
         self.seconds = seconds
         self.until: dict[str, float] = {}
 
-    def note(self, *names: str) -> None:
+    def add(self, *names: str) -> None:
         """Record that some did not answer."""
         until = anyio.current_time() + self.seconds
         self.until |= dict.fromkeys(names, until)
 
-    def others(self, names: Iterable[str]) -> list[str]:
+    def without_recent(self, names: Iterable[str]) -> list[str]:
         """Return those of some names that are not passed over, in their order."""
         now = anyio.current_time()
         return [name for name in names if self.until.get(name, now) <= now]
--- a/packages/entry/src/briarthread_entry/commands/apply.py
+++ b/packages/entry/src/briarthread_entry/commands/apply.py
@@ -16,7 +16,7 @@
 from briarthread_common.text.split_text import join_text, split_text
 from briarthread_common.text.text_store import (
     Accepted,
-    Lost,
+    Superseded,
     TextStore,
     Unchanged,
 )
@@ -66,11 +66,11 @@
             case Unchanged(number=number):
                 print(f"version {number} says the same already")
                 return ExitCode.DONE
-            case Lost():
+            case Superseded():
                 self._show_loss(result, sections)
                 return ExitCode.CONFLICT
 
-    def _show_loss(self, lost: Lost, mine: dict[str, str]) -> None:
+    def _show_loss(self, lost: Superseded, mine: dict[str, str]) -> None:
         print(
             f"not accepted: version {lost.number} by {lost.by} was accepted "
             "meanwhile and nothing of yours is in force. Run show, edit that, "
--- a/packages/entry/src/briarthread_entry/commands/direct.py
+++ b/packages/entry/src/briarthread_entry/commands/direct.py
@@ -20,12 +20,12 @@
 from briarthread_entry.direct.settings import DirectSettings, load_direct_settings
 
 TARGETS = ChannelOptions(
-    connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, silence_seconds=1.2
+    connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, user_timeout_seconds=1.2
 )
 """A target in reach takes a connection in milliseconds, also after one lost
 packet of a busy link; 4 s are under any idle timeout that targets state."""
-PEERS = ChannelOptions(connect_timeout=0.4, silence_seconds=1.0)
-STORE = ChannelOptions(connect_timeout=0.8, silence_seconds=1.0, max_idle=4)
+PEERS = ChannelOptions(connect_timeout=0.4, user_timeout_seconds=1.0)
+STORE = ChannelOptions(connect_timeout=0.8, user_timeout_seconds=1.0, max_idle=4)
 """The store and peers answer in milliseconds when they answer at all."""
 
 
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -5,9 +5,9 @@
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import (
     ChannelError,
-    NotWrittenError,
+    InvalidResponseError,
     RequestError,
-    SpoiltAnswerError,
+    RequestNotSentError,
 )
 from briarthread_common.direct.call_kind import CallKind
 from briarthread_common.direct.header_names import HeaderNames
@@ -68,9 +68,9 @@
                     self._check_whose(request, response)
                     self._note_head(state, response, sent)
                     return await self._read(request, response, relay)
-        except NotWrittenError as error:
+        except RequestNotSentError as error:
             return NotRun(_failed(ErrorKind.NO_TARGET, error), written=False)
-        except SpoiltAnswerError as error:
+        except InvalidResponseError as error:
             return OutcomeUnknown(_failed(ErrorKind.TARGET_FAILED, error))
         except ChannelError as error:
             return OutcomeUnknown(
@@ -100,9 +100,11 @@
         return TargetResponse(response.status, passed_on, body)
 
     def _check_whose(self, request: DirectRequest, response: ChannelResponse) -> None:
-        """Raise SpoiltAnswerError for an answer that is not to this request."""
+        """Raise InvalidResponseError for an answer that is not to this request."""
         if response.headers.get(self.names.request_id, "") != request.id:
-            raise SpoiltAnswerError("the answer is to another request, or names none")
+            raise InvalidResponseError(
+                "the answer is to another request, or names none"
+            )
 
     def _note_head(
         self, state: DirectTargetState, response: ChannelResponse, sent: float
@@ -122,13 +124,13 @@
             self.leaving_targets.note_leaving(name)
 
     def _check_answer(self, response: ChannelResponse) -> None:
-        """Raise SpoiltAnswerError for a success that is not the target's own."""
+        """Raise InvalidResponseError for a success that is not the target's own."""
         if response.status >= 300:
             return
         if self.names.target_stamp not in response.headers:
-            raise SpoiltAnswerError("a success without the target's signature")
+            raise InvalidResponseError("a success without the target's signature")
         if response.headers.get("content-encoding", "identity") != "identity":
-            raise SpoiltAnswerError("an encoding that nobody asked for")
+            raise InvalidResponseError("an encoding that nobody asked for")
 
     async def _pass_stream(
         self, response: ChannelResponse, headers: HeaderFields, relay: ResponseRelay
@@ -138,7 +140,7 @@
             for event in reader.feed(chunk):
                 await relay.forward_event(response.status, headers, event)
         if reader.incomplete:
-            raise SpoiltAnswerError("the stream ended within an event")
+            raise InvalidResponseError("the stream ended within an event")
         await relay.finish(response.status, headers)
 
     def _call(
@@ -158,7 +160,7 @@
             request.path,
             tuple(headers),
             request.body,
-            fresh=not request.route.retryable,
+            new_connection=not request.route.retryable,
         )
 
 
--- a/packages/entry/src/briarthread_entry/direct/group_reports.py
+++ b/packages/entry/src/briarthread_entry/direct/group_reports.py
@@ -5,7 +5,7 @@
 import anyio
 
 from briarthread_common.direct.group_id import GroupId
-from briarthread_common.http.report_stream import SILENCE_SECONDS
+from briarthread_common.http.report_stream import REPORT_TIMEOUT_SECONDS
 from briarthread_common.messages.group_report import GroupReport
 from briarthread_common.utils.host_of import host_of
 
@@ -61,6 +61,6 @@
 
     def _fresh(self, group: GroupId, now: float) -> GroupReport | None:
         received = self.received.get(group)
-        if received is None or now - received.at > SILENCE_SECONDS:
+        if received is None or now - received.at > REPORT_TIMEOUT_SECONDS:
             return None
         return received.report
--- a/packages/entry/src/briarthread_entry/direct/group_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/group_watcher.py
@@ -9,7 +9,7 @@
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.http.channel import Channel
-from briarthread_common.http.report_stream import follow_reports
+from briarthread_common.http.report_stream import read_report_stream
 from briarthread_common.messages.group_report import GROUP_PATH, GroupReport
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.spread.directory import Directory
@@ -82,7 +82,9 @@
 
     async def _follow(self, group: GroupId, agent: Instance) -> None:
         """Take over an agent's reports as long as its rank is in the group."""
-        reports = follow_reports(self.channel, agent.address, GROUP_PATH, GroupReport)
+        reports = read_report_stream(
+            self.channel, agent.address, GROUP_PATH, GroupReport
+        )
         async for report in reports:
             if group.name and report.group not in ("", group.name):
                 logger.info("group: {} is in {} now", agent.name, report.group)
--- a/packages/entry/src/briarthread_entry/direct/limit_tokens.py
+++ b/packages/entry/src/briarthread_entry/direct/limit_tokens.py
@@ -13,14 +13,14 @@
 from briarthread_common.http.channel_calls import call_json
 from briarthread_common.http.json_route import json_route
 from briarthread_common.messages.instance import Instance, InstanceRole
-from briarthread_common.messages.limit_word import LimitWord
+from briarthread_common.messages.limit_report import LimitReport
 from briarthread_common.messages.token_messages import (
     TOKENS_PATH,
     TokenAnswer,
-    TokenAsk,
+    TokenRequest,
 )
 from briarthread_common.spread.directory import Directory
-from briarthread_common.utils.passed_over import PassedOver
+from briarthread_common.utils.recent_failures import RecentFailures
 from briarthread_entry.direct.issuer_order import issued_share, issuers_of
 from briarthread_entry.direct.target_limits import TargetLimits
 from briarthread_entry.direct.token_issuer import TokenIssuer
@@ -61,12 +61,12 @@
         self.channel = channel
         self.metrics = metrics
         self.issuer = TokenIssuer()
-        self.unresponsive = PassedOver(SKIP_SECONDS)
+        self.unresponsive = RecentFailures(SKIP_SECONDS)
         self.closed: dict[str, float] = {}
 
     def routes(self) -> list[Route]:
         """Return the route on which other entries request tokens."""
-        return [json_route(TOKENS_PATH, TokenAsk, self._handle_request)]
+        return [json_route(TOKENS_PATH, TokenRequest, self._handle_request)]
 
     def is_limited(self, target: str) -> bool:
         """Return whether attempts at a target need a token."""
@@ -93,7 +93,7 @@
         limit = self.limits.latest(target.name, anyio.current_time())
         if limit is None or limit.per_second is None:
             return True
-        ask = TokenAsk(self.name, target.name, limit, wait)
+        ask = TokenRequest(self.name, target.name, limit, wait)
         answer = await self._request(target, ask)
         self.metrics.limited_attempts.labels(_decision(answer)).inc()
         if answer.granted:
@@ -102,11 +102,11 @@
         self.closed[target.name] = anyio.current_time() + answer.pause
         return False
 
-    async def _request(self, target: DirectTarget, ask: TokenAsk) -> TokenAnswer:
+    async def _request(self, target: DirectTarget, ask: TokenRequest) -> TokenAnswer:
         """Return the answer of the first issuer that responds."""
         entries = self._entries()
         order = issuers_of(target, entries)
-        for name in self.unresponsive.others(order)[:MAX_ISSUERS_ASKED]:
+        for name in self.unresponsive.without_recent(order)[:MAX_ISSUERS_ASKED]:
             if name == self.name:
                 break
             answer = await self._call(entries[name], ask)
@@ -114,7 +114,7 @@
                 return answer
         return self._issue(ask, order)
 
-    async def _call(self, issuer: Instance, ask: TokenAsk) -> TokenAnswer | None:
+    async def _call(self, issuer: Instance, ask: TokenRequest) -> TokenAnswer | None:
         try:
             answer = await call_json(
                 self.channel,
@@ -129,19 +129,19 @@
             logger.info(
                 "limits: {} issues no tokens for {}: {}", issuer.name, ask.target, error
             )
-            self.unresponsive.note(issuer.name)
+            self.unresponsive.add(issuer.name)
             return None
         self._merge(issuer.name, ask.target, answer.word)
         return answer
 
-    async def _handle_request(self, ask: TokenAsk) -> TokenAnswer:
+    async def _handle_request(self, ask: TokenRequest) -> TokenAnswer:
         self._merge(ask.asker, ask.target, ask.word)
         target = self.find(ask.target)
         if target is None:
             return TokenAnswer(False, UNKNOWN_TARGET_SECONDS)
         return self._issue(ask, issuers_of(target, self._entries()))
 
-    def _issue(self, ask: TokenAsk, order: list[str]) -> TokenAnswer:
+    def _issue(self, ask: TokenRequest, order: list[str]) -> TokenAnswer:
         """Issue a token according to this entry's position in the order of issuers."""
         now = anyio.current_time()
         limit = self.limits.latest(ask.target, now)
@@ -154,7 +154,7 @@
     def _entries(self) -> dict[str, Instance]:
         return self.directory.of_role(InstanceRole.ENTRY)
 
-    def _merge(self, source: str, target: str, limit: LimitWord | None) -> None:
+    def _merge(self, source: str, target: str, limit: LimitReport | None) -> None:
         if limit is not None:
             self.limits.merge(source, {target: limit}, anyio.current_time())
 
--- a/packages/entry/src/briarthread_entry/direct/peer_reports.py
+++ b/packages/entry/src/briarthread_entry/direct/peer_reports.py
@@ -6,9 +6,9 @@
 
 from msgspec.structs import replace
 
-from briarthread_common.http.report_stream import SILENCE_SECONDS
-from briarthread_common.messages.crash_words import all_words
-from briarthread_common.messages.limit_word import LimitWord, newest_words
+from briarthread_common.http.report_stream import REPORT_TIMEOUT_SECONDS
+from briarthread_common.messages.crash_words import merge_crash_words
+from briarthread_common.messages.limit_report import LimitReport, newest_limits
 from briarthread_common.messages.running_report import (
     RunningReport,
     longest_backoffs,
@@ -36,7 +36,7 @@
         if not report.limits and not report.crashes and not report.backoffs:
             return report
         limits = {
-            target: LimitWord(word.per_second, word.age + now - self.at)
+            target: LimitReport(word.per_second, word.age + now - self.at)
             for target, word in self.report.limits.items()
         }
         crashes = self.report.crashes.aged(now - self.at)
@@ -81,7 +81,7 @@
         entry: str,
         report: RunningReport,
         now: float,
-        lifetime: float = SILENCE_SECONDS,
+        lifetime: float = REPORT_TIMEOUT_SECONDS,
     ) -> None:
         """Store a report, which expires after ``lifetime`` seconds."""
         self._remove_report(entry)
@@ -149,8 +149,8 @@
         others = [
             r.report_at(now) for name, r in self.received.items() if name != entry
         ]
-        limits = newest_words([own.limits, *(one.limits for one in others)])
-        crashes = all_words([own.crashes, *(one.crashes for one in others)])
+        limits = newest_limits([own.limits, *(one.limits for one in others)])
+        crashes = merge_crash_words([own.crashes, *(one.crashes for one in others)])
         leaving = merge_names([own.leaving, *(one.leaving for one in others)])
         backoffs = longest_backoffs([own.backoffs, *(one.backoffs for one in others)])
         return RunningReport(dict(+running), each, limits, crashes, leaving, backoffs)
--- a/packages/entry/src/briarthread_entry/direct/request_handler.py
+++ b/packages/entry/src/briarthread_entry/direct/request_handler.py
@@ -4,13 +4,13 @@
 
 import anyio
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.metrics import Metrics
 from briarthread_common.direct.route_view import RouteView
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
 from briarthread_common.http.problem import problem_body, problem_headers
 from briarthread_entry.direct.direct_request import DirectRequest
@@ -39,7 +39,7 @@
 
     async def handle(self, call: Call) -> None:
         """Serve one call."""
-        call.closes = self.stopping()
+        call.close_connection = self.stopping()
         arrived = anyio.current_time()
         try:
             request = await self._read(call, arrived)
@@ -50,7 +50,7 @@
             return
         self.metrics.requests.labels(request.service.name).inc()
         await self._serve(request, call)
-        self.metrics.seconds.observe(anyio.current_time() - arrived)
+        self.metrics.request_seconds.observe(anyio.current_time() - arrived)
 
     async def _read(self, call: Call, arrived: float) -> DirectRequest:
         routes = self.routes.current()
@@ -80,7 +80,7 @@
 
     async def _answer_error(self, call: Call, error: RequestError) -> None:
         if call.started:
-            raise AnswerAborted(str(error)) from error
-        status = ERROR_ANSWERS[error.kind].status
+            raise ResponseAborted(str(error)) from error
+        status = ERROR_RESPONSES[error.kind].status
         headers = problem_headers(error, exact=True)
         await call.reply(status, problem_body(error), headers)
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -10,7 +10,7 @@
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.metrics import Metrics
 from briarthread_common.direct.group_id import GroupId
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
@@ -254,5 +254,5 @@
 
 async def _reply(call: Call, answer: TargetResponse) -> None:
     if call.started:
-        raise AnswerAborted("a stream cannot go on with a whole answer")
+        raise ResponseAborted("a stream cannot go on with a whole answer")
     await call.reply(answer.status, answer.body, answer.headers)
--- a/packages/entry/src/briarthread_entry/direct/running_reporter.py
+++ b/packages/entry/src/briarthread_entry/direct/running_reporter.py
@@ -12,7 +12,7 @@
     OTHERS_PATH,
     RUNNING_PATH,
     RunningReport,
-    sum_of,
+    merge_reports,
 )
 from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.running_watcher import RunningWatcher
@@ -66,7 +66,7 @@
 
     def _block(self) -> RunningReport:
         now = anyio.current_time()
-        return sum_of(
+        return merge_reports(
             [
                 self.own_report(),
                 *self.peer_reports.fresh_reports(self.watcher.direct_peers(), now),
--- a/packages/entry/src/briarthread_entry/direct/running_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/running_watcher.py
@@ -8,11 +8,14 @@
 
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.http.channel import Channel
-from briarthread_common.http.report_stream import SILENCE_SECONDS, follow_reports
+from briarthread_common.http.report_stream import (
+    REPORT_TIMEOUT_SECONDS,
+    read_report_stream,
+)
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
-from briarthread_common.utils.passed_over import PassedOver
+from briarthread_common.utils.recent_failures import RecentFailures
 from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.report_blocks import build_blocks
 from briarthread_entry.direct.subscriptions import (
@@ -58,7 +61,7 @@
         self.rng = rng
         self.subscriptions: dict[Subscription, anyio.CancelScope] = {}
         self.subscribers = 0
-        self.unresponsive = PassedOver(PASSED_OVER_SECONDS)
+        self.unresponsive = RecentFailures(PASSED_OVER_SECONDS)
         self.collector_requested = anyio.Event()
 
     async def run(self) -> None:
@@ -130,17 +133,17 @@
                 return [name for name in block if name != self.name]
 
     def _sound(self, followed: Subscription) -> list[str]:
-        return self.unresponsive.others(self._candidates(followed))
+        return self.unresponsive.without_recent(self._candidates(followed))
 
     async def _follow_quietly(self, followed: Subscription, row: Instance) -> None:
         path = report_path(followed, self.name)
         alone = isinstance(followed, EntrySubscription)
-        kept = SILENCE_SECONDS if alone else KEPT_SECONDS
-        reports = follow_reports(self.channel, row.address, path, RunningReport)
+        kept = REPORT_TIMEOUT_SECONDS if alone else KEPT_SECONDS
+        reports = read_report_stream(self.channel, row.address, path, RunningReport)
         try:
             async for report in reports:
                 now = anyio.current_time()
                 self.peer_reports.put(report_source(followed), report, now, kept)
         except ChannelError as error:
-            self.unresponsive.note(row.name)
+            self.unresponsive.add(row.name)
             logger.info("running: {} at {} lost: {}", followed, row.name, error)
--- a/packages/entry/src/briarthread_entry/direct/target_limits.py
+++ b/packages/entry/src/briarthread_entry/direct/target_limits.py
@@ -7,7 +7,7 @@
 
 from briarthread_common.core.exceptions import DecodeError
 from briarthread_common.direct.read_limit import read_limit
-from briarthread_common.messages.limit_word import LimitWord
+from briarthread_common.messages.limit_report import LimitReport
 
 ENDED_REPORT_SECONDS = 10.0
 """Time in seconds for which the end of a limit is reported. All entries receive a
@@ -67,23 +67,23 @@
         if self._update(target, stated, "its response"):
             self.own[target] = stated
 
-    def merge(self, source: str, limits: Mapping[str, LimitWord], now: float) -> None:
+    def merge(self, source: str, limits: Mapping[str, LimitReport], now: float) -> None:
         """Merge the limits that another entry reported."""
         for target, limit in limits.items():
             self._update(target, KnownLimit(limit.per_second, now - limit.age), source)
 
-    def report(self, now: float) -> dict[str, LimitWord]:
+    def report(self, now: float) -> dict[str, LimitReport]:
         """Return the limits to report to other entries."""
         return {
-            target: LimitWord(own.per_second, round(now - own.at, 3))
+            target: LimitReport(own.per_second, round(now - own.at, 3))
             for target, own in self.own.items()
             if own.per_second is not None or now - own.at < ENDED_REPORT_SECONDS
         }
 
-    def latest(self, target: str, now: float) -> LimitWord | None:
+    def latest(self, target: str, now: float) -> LimitReport | None:
         """Return the most recent limit of one target, to send it to another entry."""
         known = self.known.get(target)
-        return known and LimitWord(known.per_second, now - known.at)
+        return known and LimitReport(known.per_second, now - known.at)
 
     def retain(self, targets: Container[str]) -> None:
         """Forget all targets except the given ones."""
--- a/packages/entry/src/briarthread_entry/maps/coordinator.py
+++ b/packages/entry/src/briarthread_entry/maps/coordinator.py
@@ -9,7 +9,7 @@
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.http.call_many import call_many
 from briarthread_common.http.channel import Channel
-from briarthread_common.messages.expert_map import NO_MAP, ExpertMap
+from briarthread_common.messages.expert_map import NO_MAP_VERSION, ExpertMap
 from briarthread_common.messages.map_messages import (
     ANNOUNCE_PATH,
     CONFIRM_PATH,
@@ -84,7 +84,7 @@
         if len(standings) < len(group.targets):
             return NotActivated("an agent did not respond")
         if any(
-            standing.version == NO_MAP or standing.pending
+            standing.version == NO_MAP_VERSION or standing.pending
             for standing in standings.values()
         ):
             return NotActivated("a rank has no map yet or is held for another map")
--- a/packages/entry/src/briarthread_entry/maps/group_planner.py
+++ b/packages/entry/src/briarthread_entry/maps/group_planner.py
@@ -14,7 +14,7 @@
 from briarthread_common.messages.map_report import REPORT_PATH, MapReport
 from briarthread_common.placement.move_rule import KeepMap, MapMove, decide_move
 from briarthread_common.placement.popularity import Popularity
-from briarthread_common.platform.lease import Held, HeldByOther, Lease
+from briarthread_common.platform.lease import Lease, LeaseAcquired, LeaseHeldByOther
 from briarthread_common.platform.platform_client import PlatformClient
 from briarthread_common.spread.directory import Directory
 from briarthread_common.text.group import Group
@@ -103,10 +103,10 @@
 
     async def _activate(self, group: Group, move: MapMove) -> None:
         lease = Lease(self.platform, self.clock, f"groups/{group.name}", LEASE_SECONDS)
-        match await lease.take(self.name):
-            case HeldByOther(holder=holder):
+        match await lease.acquire(self.name):
+            case LeaseHeldByOther(holder=holder):
                 self.events.add("map-stays", group.name, f"{holder} holds the lease")
-            case Held(fence=fence):
+            case LeaseAcquired(fence=fence):
                 self.proposals += 1
                 version = fence * VERSIONS_PER_FENCE + self.proposals
                 self.events.add(
--- a/packages/entry/src/briarthread_entry/routing/router.py
+++ b/packages/entry/src/briarthread_entry/routing/router.py
@@ -7,7 +7,7 @@
 from briarthread_common.core.exceptions import ChannelError, RequestError
 from briarthread_common.http.channel import Channel
 from briarthread_common.http.channel_calls import call_json
-from briarthread_common.messages.hello import HELLO_PATH, HELLO_TIMEOUT, Hello
+from briarthread_common.messages.hello import HELLO_PATH, HELLO_TIMEOUT_SECONDS, Hello
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.shares.share_row import ShareRow, share_of
 from briarthread_common.shares.share_view import ShareView
@@ -128,7 +128,7 @@
                     HELLO_PATH,
                     None,
                     Hello,
-                    HELLO_TIMEOUT,
+                    HELLO_TIMEOUT_SECONDS,
                 )
             except ChannelError:
                 continue
--- a/packages/entry/src/briarthread_entry/serving/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/serving/attempt_sender.py
@@ -9,14 +9,17 @@
 from briarthread_common.core.exceptions import (
     BrokenCallError,
     ChannelError,
-    NotWrittenError,
     RequestError,
+    RequestNotSentError,
 )
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
 from briarthread_common.http.channel import Channel, ChannelRequest, ChannelResponse
 from briarthread_common.http.channel_calls import call_json, read_bounded
-from briarthread_common.http.passed_headers import PASSED_BACK, STREAM_TYPE
+from briarthread_common.http.forwarded_headers import (
+    FORWARDED_RESPONSE_HEADERS,
+    STREAM_CONTENT_TYPE,
+)
 from briarthread_common.messages.attempt import (
     ANSWERED,
     ATTEMPT_HEADER,
@@ -88,7 +91,7 @@
             if not isinstance(outcome, Lost):
                 return outcome
             if call.started:
-                raise AnswerAborted("the answer broke off")
+                raise ResponseAborted("the answer broke off")
             if self._left(attempt) <= 0:
                 return outcome
             verdict = await self._revoke(attempt, target)
@@ -144,7 +147,7 @@
             progress.outcome = await self._stream(
                 request, attempt, target, call, progress
             )
-        except NotWrittenError as error:
+        except RequestNotSentError as error:
             progress.outcome = NotRun(RequestError(ErrorKind.NO_TARGET, str(error)))
         except BrokenCallError as error:
             progress.outcome = lost(str(error))
@@ -179,9 +182,13 @@
     async def _pass_back(
         self, request: CallerRequest, response: ChannelResponse, call: Call
     ) -> None:
-        headers = [(k, v) for k, v in response.headers.items() if k in PASSED_BACK]
+        headers = [
+            (k, v)
+            for k, v in response.headers.items()
+            if k in FORWARDED_RESPONSE_HEADERS
+        ]
         headers.append(("briarthread-request", request.id))
-        if response.headers.get("content-type", "").startswith(STREAM_TYPE):
+        if response.headers.get("content-type", "").startswith(STREAM_CONTENT_TYPE):
             await call.start(response.status, headers)
             async for chunk in response.body:
                 await call.send_chunk(chunk)
--- a/packages/entry/src/briarthread_entry/serving/read_request.py
+++ b/packages/entry/src/briarthread_entry/serving/read_request.py
@@ -7,7 +7,7 @@
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.http.call import Call
-from briarthread_common.http.passed_headers import PASSED_ON
+from briarthread_common.http.forwarded_headers import FORWARDED_REQUEST_HEADERS
 from briarthread_common.text.account import Account
 from briarthread_common.text.service import Service
 from briarthread_common.text.services_text import ServicesText
@@ -46,7 +46,9 @@
         service=service,
         method=call.method,
         path=f"/{rest}{query}",
-        headers=tuple((k, v) for k, v in headers.items() if k in PASSED_ON),
+        headers=tuple(
+            (k, v) for k, v in headers.items() if k in FORWARDED_REQUEST_HEADERS
+        ),
         body=body,
         key=f"{account.name}/{key}",
         keyed=raw_key is not None,
--- a/packages/entry/src/briarthread_entry/serving/request_handler.py
+++ b/packages/entry/src/briarthread_entry/serving/request_handler.py
@@ -2,12 +2,12 @@
 
 import anyio
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.event_log import EventLog
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.metrics import Metrics
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
 from briarthread_common.spread.directory import Directory
 from briarthread_common.text.services_text import ServicesText
@@ -69,7 +69,7 @@
             raise _unread(call, error) from error
         finally:
             self.in_flight -= 1
-            self.metrics.seconds.observe(self.clock.now() - started)
+            self.metrics.request_seconds.observe(self.clock.now() - started)
 
     async def _read(self, call: Call, now: float) -> CallerRequest:
         text = self.text.current()
@@ -117,9 +117,9 @@
             request.id,
         )
         if call.started:
-            raise AnswerAborted(str(error)) from error
+            raise ResponseAborted(str(error)) from error
         headers = [("briarthread-request", request.id)]
-        await call.reply_error(error, ERROR_ANSWERS[error.kind].status, headers)
+        await call.reply_error(error, ERROR_RESPONSES[error.kind].status, headers)
 
 
 def _unread(call: Call, error: RequestError) -> RequestError:
--- a/packages/measure/src/briarthread_measure/expert_moves.py
+++ b/packages/measure/src/briarthread_measure/expert_moves.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from briarthread_common.messages.expert_map import ExpertMap, even_map
+from briarthread_common.messages.expert_map import ExpertMap, round_robin_map
 from briarthread_common.placement.move_rule import MapMove, decide_move
 from briarthread_common.placement.place_experts import place_experts
 from briarthread_common.placement.popularity import Popularity
@@ -82,7 +82,7 @@
     """Run a policy over a day; it sees the decayed counts, not the drift."""
     drift = Drift(seed)
     popularity = Popularity(LAYERS, EXPERTS)
-    present = even_map(1, LAYERS, EXPERTS, RANKS)
+    present = round_robin_map(1, LAYERS, EXPERTS, RANKS)
     skews: list[float] = []
     moved = moves = 0
     for minute in range(hours * HOUR_MINUTES):
--- a/packages/measure/src/briarthread_measure/map_search_run.py
+++ b/packages/measure/src/briarthread_measure/map_search_run.py
@@ -23,7 +23,7 @@
 
 from briarthread_common.direct.expert_layout import ExpertLayout
 from briarthread_common.direct.rank_client import Layers
-from briarthread_common.messages.expert_map import NO_MAP, even_map
+from briarthread_common.messages.expert_map import NO_MAP_VERSION, round_robin_map
 from briarthread_common.placement import set_rebalance
 from briarthread_common.placement.rank_loads import slowest_load
 from briarthread_common.placement.set_rebalance import PassDuration, search_set_changes
@@ -56,7 +56,9 @@
     """Search a change of the dealt map for one draw of demand."""
     figures = SIZES[ranks]
     rng = random.Random(seed)
-    layers = even_map(NO_MAP, figures.sets, figures.experts, ranks).layers
+    layers = round_robin_map(
+        NO_MAP_VERSION, figures.sets, figures.experts, ranks
+    ).layers
     demand = [_draw(rng, figures.experts) for _ in range(figures.sets)]
     slowest = _slowest(layers, demand)
     better: Layers = []
--- a/packages/measure/src/briarthread_measure/memory_probe.py
+++ b/packages/measure/src/briarthread_measure/memory_probe.py
@@ -17,7 +17,7 @@
 from briarthread_agent.attempts.record_store import RecordStore
 from briarthread_common.feeds.feed_set import FeedSet
 from briarthread_common.messages.attempt import Attempt
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_common.shares.share_view import ShareView
 from briarthread_common.spread.directory import Directory
 from briarthread_common.text.text_view import TextView
@@ -116,7 +116,7 @@
 
 def hold_layers(count: int) -> object:
     """Hold an expert map with so many layers."""
-    return [even_map(1, 1, EXPERTS, GROUP_RANKS) for _ in range(count)]
+    return [round_robin_map(1, 1, EXPERTS, GROUP_RANKS) for _ in range(count)]
 
 
 PROBES: dict[str, Callable[[int], object]] = {
--- a/packages/measure/src/briarthread_measure/reference_pages.py
+++ b/packages/measure/src/briarthread_measure/reference_pages.py
@@ -13,7 +13,7 @@
 from briarthread_agent.ranks.settings import DIRECT_AGENT_SECTIONS
 from briarthread_agent.settings import AGENT_SECTIONS
 from briarthread_common.conf.section_spec import SectionSpec
-from briarthread_common.core.error_answer import ERROR_ANSWERS
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.text.section_specs import TEXT_SPECS
 from briarthread_entry.direct.settings import DIRECT_SECTIONS
 from briarthread_entry.settings import ENTRY_SECTIONS
@@ -61,7 +61,7 @@
         "| kind | status | outcome | Retry-After | title |",
         "| --- | --- | --- | --- | --- |",
     ]
-    for kind, row in ERROR_ANSWERS.items():
+    for kind, row in ERROR_RESPONSES.items():
         pause = "none" if row.retry_after is None else f"{row.retry_after:g} s or more"
         lines.append(
             f"| `{kind}` | {row.status} | {row.outcome} | {pause} | {row.title} |"
--- a/packages/standins/src/briarthread_standins/direct_group.py
+++ b/packages/standins/src/briarthread_standins/direct_group.py
@@ -6,7 +6,7 @@
 
 from briarthread_common.http.app import App, Route
 from briarthread_common.http.call import Call
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_standins.direct_rank import DirectRank
 
 MAX_BODY = 4 * 1024 * 1024
@@ -96,7 +96,7 @@
         self._place_evenly()
 
     def _place_evenly(self) -> None:
-        layer = even_map(0, 1, self.experts, len(self.ranks)).layers[0]
+        layer = round_robin_map(0, 1, self.experts, len(self.ranks)).layers[0]
         for number, rank in enumerate(self.ranks):
             rank.number = number
             rank.form_anew([layer[number] for _ in range(self.sets)])
--- a/packages/standins/src/briarthread_standins/direct_worker.py
+++ b/packages/standins/src/briarthread_standins/direct_worker.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from briarthread_common.http.app import AnswerAborted, App, Route
+from briarthread_common.http.app import App, ResponseAborted, Route
 from briarthread_common.http.call import Call
 from briarthread_standins.refusals import Refusals
 
@@ -131,7 +131,7 @@
             case WorkerFault.OWN_ERROR:
                 await call.reply(500, b"broken", [STAMP, *echoed])
             case WorkerFault.LOSE_ANSWER:
-                raise AnswerAborted("lost")
+                raise ResponseAborted("lost")
             case WorkerFault.MUTE:
                 await anyio.sleep_forever()
             case WorkerFault.OTHER_ID:
@@ -163,11 +163,11 @@
             await anyio.sleep(self.event_pause)
             if self.broken_by:
                 await anyio.sleep(max(self.stalled_until - anyio.current_time(), 0.0))
-                raise AnswerAborted("cut off, a rank of its group is lost")
+                raise ResponseAborted("cut off, a rank of its group is lost")
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             if fault is WorkerFault.CUT_EVENT and number - first >= self.cut_after:
                 await call.send_chunk(event[:9])
-                raise AnswerAborted("cut in the middle of an event")
+                raise ResponseAborted("cut in the middle of an event")
             if fault is WorkerFault.TORN_END and number - first >= self.cut_after:
                 await call.send_chunk(event[:9])
                 break
--- a/packages/standins/src/briarthread_standins/fake_network.py
+++ b/packages/standins/src/briarthread_standins/fake_network.py
@@ -13,9 +13,9 @@
 from briarthread_common.core.exceptions import (
     BrokenCallError,
     ConnectionRefused,
-    NotWrittenError,
+    RequestNotSentError,
 )
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.channel import ChannelRequest, ChannelResponse
 from briarthread_standins.fake_exchange import Exchange
 
@@ -154,7 +154,7 @@
             node.calls.add(scope)
             try:
                 await node.app(exchange.scope, exchange.receive, exchange.send)
-            except AnswerAborted as error:
+            except ResponseAborted as error:
                 logger.debug("network: {}", error)
             finally:
                 node.calls.discard(scope)
@@ -202,7 +202,7 @@
             raise ConnectionRefused(f"{request.address} refused")
         if not self.network.is_open(self.address, self.site, node):
             await anyio.sleep(CONNECT_TIMEOUT)
-            raise NotWrittenError(f"{request.address} is out of reach")
+            raise RequestNotSentError(f"{request.address} is out of reach")
         return node
 
     async def _body(self, node: Node, exchange: Exchange) -> AsyncIterator[bytes]:
--- a/packages/standins/src/briarthread_standins/platform_app.py
+++ b/packages/standins/src/briarthread_standins/platform_app.py
@@ -5,7 +5,7 @@
 import anyio
 from docopt import docopt
 
-from briarthread_common.http.app import AnswerAborted, App, Route
+from briarthread_common.http.app import App, ResponseAborted, Route
 from briarthread_common.http.call import Call
 from briarthread_common.messages.instance import Instance
 from briarthread_common.platform.table_messages import ReadAnswer, Transaction
@@ -65,7 +65,7 @@
         await self._fail_if_told()
         answer = self.state.commit(transaction)
         if self.state.mode is PlatformMode.LOST:
-            raise AnswerAborted("answer lost after the write")
+            raise ResponseAborted("answer lost after the write")
         await call.reply_json(answer)
 
     async def _handle_instances(self, call: Call) -> None:
@@ -94,7 +94,7 @@
     async def _fail_if_told(self) -> None:
         match self.state.mode:
             case PlatformMode.DOWN:
-                raise AnswerAborted("platform is down")
+                raise ResponseAborted("platform is down")
             case PlatformMode.SLOW:
                 await anyio.sleep(self.state.delay)
             case _:
--- a/packages/standins/src/briarthread_standins/rank_group.py
+++ b/packages/standins/src/briarthread_standins/rank_group.py
@@ -14,7 +14,11 @@
     OrderAnswer,
     OrderKind,
 )
-from briarthread_common.messages.expert_map import FIRST_MAP, ExpertMap, even_map
+from briarthread_common.messages.expert_map import (
+    FIRST_MAP_VERSION,
+    ExpertMap,
+    round_robin_map,
+)
 from briarthread_common.messages.map_report import ENGINE_REPORT_PATH, MapReport
 
 LIMIT = 64 * 1024 * 1024
@@ -39,7 +43,9 @@
 
     def __init__(self, fencing: bool, first_map: ExpertMap | None = None) -> None:
         self.fencing = fencing
-        self.maps = {FIRST_MAP: first_map or even_map(FIRST_MAP, 1, 1, 1)}
+        self.maps = {
+            FIRST_MAP_VERSION: first_map or round_robin_map(FIRST_MAP_VERSION, 1, 1, 1)
+        }
         self.counts: list[list[int]] = []
         self.token = (0, 0)
         self.alive = True
--- a/packages/standins/src/briarthread_standins/rank_group_app.py
+++ b/packages/standins/src/briarthread_standins/rank_group_app.py
@@ -20,7 +20,7 @@
 
 from briarthread_common.http.app import Route
 from briarthread_common.http.call import Call
-from briarthread_common.messages.expert_map import FIRST_MAP, even_map
+from briarthread_common.messages.expert_map import FIRST_MAP_VERSION, round_robin_map
 from briarthread_standins.rank_group import RankEngine, RankGroup
 from briarthread_standins.run_standin import serve_all
 
@@ -33,7 +33,7 @@
     """Hold a group and count the tokens of its experts."""
 
     def __init__(self, ranks: int, experts: int, step: float, fencing: bool) -> None:
-        first = even_map(FIRST_MAP, 1, experts, ranks)
+        first = round_robin_map(FIRST_MAP_VERSION, 1, experts, ranks)
         engines = [RankEngine(fencing, first) for _ in range(ranks)]
         self.group = RankGroup(engines, step)
         self.tokens = [
--- a/packages/standins/src/briarthread_standins/users_store.py
+++ b/packages/standins/src/briarthread_standins/users_store.py
@@ -99,7 +99,7 @@
 
     async def _answers(self, call: Call) -> bool:
         if self.silent:
-            await call.wait_disconnect()
+            await call.wait_for_disconnect()
             return False
         if self.refuse is not None or call.scope["client"][0] in self.turned_away:
             await call.reply(self.refuse or 503, b"")
@@ -161,7 +161,7 @@
         self._apply(change)
         if self.lose_writes:
             self.lose_writes -= 1
-            await call.wait_disconnect()
+            await call.wait_for_disconnect()
             return
         await call.reply_json({"ver": self.ver, "nowMs": self._now()})
 
--- a/tests/common/test_log_sink.py
+++ b/tests/common/test_log_sink.py
@@ -34,12 +34,12 @@
 
 def test_stream_that_nobody_reads_loses_lines_and_not_time() -> None:
     stream = StuckStream()
-    sink = LogSink(stream, clock=lambda: 0.0, most_waiting=10)
+    sink = LogSink(stream, clock=lambda: 0.0, max_queued=10)
     sink.write("first\n")
     assert stream.reached.wait(WAIT_SECONDS)
     for number in range(50):
         sink.write(f"line {number}\n")
-    assert sink.left_out == 40
+    assert sink.dropped == 40
     stream.released.set()
     while sink.waiting.qsize():
         sink.thread.join(0.001)
@@ -53,7 +53,7 @@
 def test_rush_of_lines_is_cut_to_so_many_a_second() -> None:
     now = [10.0]
     stream = io.StringIO()
-    sink = LogSink(stream, clock=lambda: now[0], each_second=20)
+    sink = LogSink(stream, clock=lambda: now[0], max_per_second=20)
     for number in range(70):
         sink.write(f"line {number}\n")
     now[0] = 11.0
--- a/tests/common/test_packed.py
+++ b/tests/common/test_packed.py
@@ -10,7 +10,12 @@
 from briarthread_common.http.call import Call
 from briarthread_common.http.channel import ChannelRequest
 from briarthread_common.http.channel_calls import call_json, read_bounded
-from briarthread_common.http.packed import LEAST_BYTES, PACKED_HEADER, pack, unpack
+from briarthread_common.http.compression import (
+    CONTENT_ENCODING_HEADER,
+    MIN_COMPRESSED_BYTES,
+    compress_body,
+    decompress_body,
+)
 from briarthread_standins.fake_network import FakeNetwork
 from briarthread_standins.virtual_time import run_virtual
 
@@ -71,7 +76,9 @@
 )
 def test_corrupt_or_oversized_compressed_body_is_rejected(body: bytes) -> None:
     async def scenario(_: DoublingServer, channel: object) -> None:
-        request = ChannelRequest("POST", ADDRESS, "/double", (PACKED_HEADER,), body)
+        request = ChannelRequest(
+            "POST", ADDRESS, "/double", (CONTENT_ENCODING_HEADER,), body
+        )
         async with channel.stream(request) as response:
             await read_bounded(response.body, MAX_BODY_BYTES)
         assert response.status in (400, 413)
@@ -82,19 +89,26 @@
 def test_corrupt_compressed_reply_is_a_broken_call() -> None:
     async def scenario(_: DoublingServer, channel: object) -> None:
         async def reply_corrupt(call: Call) -> None:
-            await call.reply(200, b"no zlib", [PACKED_HEADER])
+            await call.reply(200, b"no zlib", [CONTENT_ENCODING_HEADER])
 
         app = App([Route("POST", "/broken", reply_corrupt)])
         channel.network.listen("10.1.0.3:9", "palermo", app)
         with pytest.raises(BrokenCallError, match="broken body"):
             await call_json(
-                channel, "10.1.0.3:9", "POST", "/broken", 1, list[int], 1.0, packed=True
+                channel,
+                "10.1.0.3:9",
+                "POST",
+                "/broken",
+                1,
+                list[int],
+                1.0,
+                compressed=True,
             )
 
     in_network(scenario)
 
 
 def test_small_body_is_not_compressed() -> None:
-    assert pack(b"x" * (LEAST_BYTES - 1)) is None
+    assert compress_body(b"x" * (MIN_COMPRESSED_BYTES - 1)) is None
     with pytest.raises(RequestError, match="over 10 bytes"):
-        unpack(zlib.compress(b"x" * 11), limit=10)
+        decompress_body(zlib.compress(b"x" * 11), limit=10)
--- a/tests/common/test_server.py
+++ b/tests/common/test_server.py
@@ -9,7 +9,7 @@
 
 from briarthread_common.core.exceptions import ListenError
 from briarthread_common.core.run_loop import run_loop
-from briarthread_common.http.app import AnswerAborted, App, Route
+from briarthread_common.http.app import App, ResponseAborted, Route
 from briarthread_common.http.call import Call
 from briarthread_common.http.channel import ChannelRequest
 from briarthread_common.http.channel_calls import read_bounded
@@ -45,7 +45,7 @@
 async def break_off(call: Call) -> None:
     await call.start(200, [])
     await call.send_chunk(b"part")
-    raise AnswerAborted("on purpose")
+    raise ResponseAborted("on purpose")
 
 
 APP = App(
@@ -172,7 +172,7 @@
 
 def test_channel_sets_how_long_the_kernel_waits_for_a_silent_peer() -> None:
     async def play(address: str, _: HttpServer) -> None:
-        channel = HttpChannel(ChannelOptions(silence_seconds=1.2))
+        channel = HttpChannel(ChannelOptions(user_timeout_seconds=1.2))
         request = ChannelRequest("POST", address, "/length", body=b"abc")
         async with channel.stream(request) as response:
             assert await read_bounded(response.body, 10) == b"3"
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -7,7 +7,7 @@
 from live_world import LiveWorld
 
 from briarthread_common.messages.engine_order import ORDER_PATH
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_common.messages.map_messages import (
     ANNOUNCE_PATH,
     CONFIRM_PATH,
@@ -76,7 +76,7 @@
         entry = self.world.entry("entry-0")
         channel = self.world.network.channel("planner", PLANNER_SITES[planner])
         coordinator = Coordinator(channel, entry.directory, entry.events)
-        expert_map = even_map(version, 1, 8, len(RANKS))
+        expert_map = round_robin_map(version, 1, 8, len(RANKS))
         with anyio.CancelScope() as scope:
             self.planner_scopes.append(scope)
             fence = version // VERSIONS_A_FENCE
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -5,7 +5,7 @@
 import anyio
 import pytest
 
-from briarthread_common.core.exceptions import HistoryGoneError, PlatformError
+from briarthread_common.core.exceptions import HistoryTruncatedError, PlatformError
 from briarthread_common.feeds.feed_patch import SNAPSHOT_BASE
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_platform.store import Store
@@ -75,7 +75,7 @@
     async def scenario(users_store: UsersStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
         users_store.forget()
-        with pytest.raises(HistoryGoneError):
+        with pytest.raises(HistoryTruncatedError):
             await client.long_poll("targets", 0, 0.0)
 
     with_store(scenario)
--- a/tests/scenarios/test_promises.py
+++ b/tests/scenarios/test_promises.py
@@ -11,7 +11,7 @@
 from live_world import LiveWorld
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_common.text.text_store import Accepted, ApplyResult
 from briarthread_entry.maps.coordinator import Coordinator
 from briarthread_standins.rank_group import RankGroup
@@ -107,7 +107,9 @@
         )
         group = entry.text.current().groups["experts"]
         with anyio.move_on_after(CONFIRM_SECONDS):
-            await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
+            await coordinator.activate(
+                group, round_robin_map(NEW_MAP, 1, 8, len(RANKS)), 1
+            )
 
     story.live.run(place())
 
--- a/tests/world/test_map_agreement.py
+++ b/tests/world/test_map_agreement.py
@@ -4,7 +4,7 @@
 from builders import build_text
 from fuzz.map_machine import CONFIRM_PATH, CONFIRM_SECONDS, GROUP_TEXT, RANKS, SITE
 
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_entry.maps.coordinator import Coordinator
 from briarthread_standins.rank_group import RankGroup
 from briarthread_standins.virtual_time import run_virtual
@@ -30,7 +30,7 @@
     coordinator = Coordinator(channel, entry.directory, entry.events)
     group = entry.text.current().groups["experts"]
     with anyio.move_on_after(seconds):
-        await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
+        await coordinator.activate(group, round_robin_map(NEW_MAP, 1, 8, len(RANKS)), 1)
 
 
 def test_delayed_confirmation_does_not_switch_a_restarted_engine() -> None:
--- a/tests/world/test_planning.py
+++ b/tests/world/test_planning.py
@@ -3,7 +3,7 @@
 import anyio
 from builders import build_text, in_world
 
-from briarthread_common.messages.expert_map import even_map
+from briarthread_common.messages.expert_map import round_robin_map
 from briarthread_common.placement.rank_loads import map_skew
 from briarthread_standins.platform_app import PlatformMode
 from briarthread_standins.rank_group import RankGroup
@@ -27,7 +27,7 @@
 
 
 def add_group(world: World) -> RankGroup:
-    initial_map = even_map(1, 1, EXPERTS, len(RANKS))
+    initial_map = round_robin_map(1, 1, EXPERTS, len(RANKS))
     group = world.add_group(RANKS, "palermo", "assistant", True, initial_map)
     group.step_time = STEP_SECONDS
     for engine in group.engines:
--- a/tests/world/test_text_in_force.py
+++ b/tests/world/test_text_in_force.py
@@ -5,7 +5,7 @@
 from builders import build_text, in_world
 
 from briarthread_common.core.exceptions import ChecksFailed, PlatformError
-from briarthread_common.text.text_store import Accepted, Lost
+from briarthread_common.text.text_store import Accepted, Superseded
 from briarthread_standins.platform_app import PlatformMode
 from briarthread_standins.world import World
 
@@ -34,8 +34,8 @@
             tasks.start_soon(apply, 11)
             tasks.start_soon(apply, 12)
         kinds = sorted(type(result).__name__ for result in results)
-        assert kinds == ["Accepted", "Lost"]
-        lost = next(result for result in results if isinstance(result, Lost))
+        assert kinds == ["Accepted", "Superseded"]
+        lost = next(result for result in results if isinstance(result, Superseded))
         assert lost.number == 2
         await anyio.sleep(SECONDS)
         queue = world.entry("entry-palermo-0").text.current().services["diary"].queue
--- a/tests/world/test_whole_answers.py
+++ b/tests/world/test_whole_answers.py
@@ -4,7 +4,7 @@
 import pytest
 from builders import in_world
 
-from briarthread_common.http.app import AnswerAborted, App, Route
+from briarthread_common.http.app import App, ResponseAborted, Route
 from briarthread_common.http.call import Call
 from briarthread_standins.world import World
 
@@ -77,7 +77,7 @@
         await call.start(200, [("content-type", "application/json")])
         for chunk in chunks:
             if chunk is None:
-                raise AnswerAborted("cut")
+                raise ResponseAborted("cut")
             await call.send_chunk(chunk)
         await call.finish()
 
