--- a/packages/common/src/briarthread_common/__init__.py
+++ b/packages/common/src/briarthread_common/__init__.py
@@ -1,1 +1,1 @@
-"""Parts that the entry and the agent of briarthread share."""
+"""Code shared by briarthread's entry and agent."""
--- a/packages/common/src/briarthread_common/conf/__init__.py
+++ b/packages/common/src/briarthread_common/conf/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: options, their conversion and their checks."""
+"""Settings: option specifications, conversion and checks."""
--- a/packages/common/src/briarthread_common/conf/convert.py
+++ b/packages/common/src/briarthread_common/conf/convert.py
@@ -1,4 +1,4 @@
-"""Conversion of an option's text to its value."""
+"""Conversion of an option's raw text to its value."""
 
 import re
 
@@ -20,7 +20,7 @@
 
 def convert(option: Option, raw: str) -> object:
     """
-    Return the value of an option, or raise ValueError saying what is wrong.
+    Return the value of an option; raise ValueError if it is invalid.
 
     >>> convert(Option("wait", OptionKind.SECONDS, None, ""), "1.5")
     1.5
@@ -47,7 +47,7 @@
 
 
 def is_name(raw: str) -> bool:
-    """Tell whether a text may name a service, an account or an instance."""
+    """Return whether a text is a valid service, account or instance name."""
     return NAME_PATTERN.fullmatch(raw) is not None
 
 
@@ -77,4 +77,4 @@
 
 
 def _fail(raw: str) -> str:
-    raise ValueError(f"{raw!r} does not fit")
+    raise ValueError(f"{raw!r} is not valid")
--- a/packages/common/src/briarthread_common/conf/option.py
+++ b/packages/common/src/briarthread_common/conf/option.py
@@ -1,4 +1,4 @@
-"""One option of a section."""
+"""Specification of an option."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,10 @@
 @dataclass(frozen=True, slots=True)
 class Option:
     """
-    Describe one option; ``default`` is as written, ``None`` if required.
+    Describe an option of a section.
 
-    ``minimum`` bounds numbers; ``choices`` bounds texts.
+    ``default`` is the raw text of the default, ``None`` if the option is required.
+    ``minimum`` is the lower bound of a number; ``choices`` are the allowed texts.
     """
 
     key: str
--- a/packages/common/src/briarthread_common/conf/option_kind.py
+++ b/packages/common/src/briarthread_common/conf/option_kind.py
@@ -1,10 +1,10 @@
-"""The kinds of value that an option can hold."""
+"""Kinds of option values."""
 
 from enum import StrEnum
 
 
 class OptionKind(StrEnum):
-    """Name a kind of value; its text says what was expected."""
+    """Kind of an option's value; error messages state it as the expected value."""
 
     TEXT = "text"
     INTEGER = "a whole number"
--- a/packages/common/src/briarthread_common/conf/read_section.py
+++ b/packages/common/src/briarthread_common/conf/read_section.py
@@ -1,4 +1,4 @@
-"""Reading of one section against its specification."""
+"""Reading of a section according to its specification."""
 
 from collections.abc import Mapping
 
@@ -12,9 +12,9 @@
     spec: SectionSpec, place: str, raw: Mapping[str, str]
 ) -> tuple[dict[str, object], list[CheckMessage]]:
     """
-    Return the values of a section and every fault found in it.
+    Return the values of a section and all its faults.
 
-    ``place`` is the section's header as the operator wrote it.
+    ``place`` is the section's header as written in the file.
     """
     values: dict[str, object] = {}
     faults: list[CheckMessage] = []
--- a/packages/common/src/briarthread_common/conf/read_settings.py
+++ b/packages/common/src/briarthread_common/conf/read_settings.py
@@ -1,4 +1,4 @@
-"""Reading of a process's settings file."""
+"""Reading of a settings file."""
 
 import configparser
 from collections.abc import Sequence
@@ -14,10 +14,9 @@
     path: Path, specs: Sequence[SectionSpec]
 ) -> dict[str, dict[str, object]]:
     """
-    Return the values of all sections, defaults filled in.
+    Return the values of all sections, including defaults.
 
-    Raise ChecksFailed with all faults at once when the file cannot be read
-    or any option does not fit.
+    Raise ChecksFailed with all faults if the file cannot be read or is invalid.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -31,13 +30,13 @@
 def collect_sections(
     parser: configparser.ConfigParser, specs: Sequence[SectionSpec]
 ) -> dict[str, dict[str, object]]:
-    """Return the values of the parsed sections or raise with all faults."""
+    """Return the values of the parsed sections; raise ChecksFailed on faults."""
     values: dict[str, dict[str, object]] = {}
     faults: list[CheckMessage] = []
     for spec in specs:
         raw = parser[spec.name] if parser.has_section(spec.name) else {}
-        values[spec.name], found = read_section(spec, spec.name, raw)
-        faults.extend(found)
+        values[spec.name], section_faults = read_section(spec, spec.name, raw)
+        faults.extend(section_faults)
     known = {spec.name for spec in specs}
     faults.extend(
         CheckMessage("conf.E005", f"[{name}]", "is not a section of this file")
--- a/packages/common/src/briarthread_common/conf/reload.py
+++ b/packages/common/src/briarthread_common/conf/reload.py
@@ -1,4 +1,4 @@
-"""Reading of the settings anew while a process runs."""
+"""Reloading of settings while a process runs."""
 
 import signal
 from collections.abc import Callable
@@ -16,13 +16,13 @@
 async def reload_on_signal(
     path: Path, load: Callable[[Path], T], apply: Callable[[T], None]
 ) -> None:
-    """Apply the settings anew at each SIGHUP; faults leave the old in force."""
+    """Reload the settings on each SIGHUP; keep the old ones if the file has faults."""
     with anyio.open_signal_receiver(signal.SIGHUP) as signals:
         async for _ in signals:
             try:
                 settings = load(path)
             except ChecksFailed as error:
-                logger.error("settings: kept, the file has faults: {}", error)
+                logger.error("settings: not reloaded, the file has faults: {}", error)
                 continue
             apply(settings)
-            logger.info("settings: read anew")
+            logger.info("settings: reloaded")
--- a/packages/common/src/briarthread_common/conf/section_spec.py
+++ b/packages/common/src/briarthread_common/conf/section_spec.py
@@ -1,4 +1,4 @@
-"""The options that a section may hold."""
+"""Specification of a section."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SectionSpec:
-    """Describe one kind of section and its options."""
+    """Describe a kind of section and its options."""
 
     name: str
     help: str
--- a/packages/common/src/briarthread_common/conf/shared_sections.py
+++ b/packages/common/src/briarthread_common/conf/shared_sections.py
@@ -1,4 +1,4 @@
-"""The settings sections that the entry and the agent share."""
+"""Settings sections that the entry and the agent share."""
 
 from briarthread_common.conf.option import Option
 from briarthread_common.conf.option_kind import OptionKind
@@ -12,7 +12,7 @@
             "seeds",
             OptionKind.ADDRESSES,
             "",
-            "Entries or agents to ask at start while the platform is down.",
+            "Entries or agents to contact at start while the platform is down.",
         ),
         Option(
             "exchange_interval",
@@ -24,14 +24,14 @@
             "poll_interval",
             OptionKind.SECONDS,
             "2",
-            "Time between polls of the platform by a process on poll duty, s.",
+            "Time between polls of the platform by a selected poller, s.",
         ),
     ),
 )
 
 PLATFORM = SectionSpec(
     "platform",
-    "Where the platform's table and instance list answer.",
+    "Addresses of the platform's table and instance list.",
     (
         Option(
             "addresses",
@@ -44,10 +44,10 @@
 )
 
 STORE_OPTIONS = (
-    Option("adapter", OptionKind.TEXT, None, "Module that translates for it."),
+    Option("adapter", OptionKind.TEXT, None, "Adapter module for the platform."),
     Option("address", OptionKind.ADDRESS, None, "Address of its store."),
 )
-"""What a process needs to reach a platform that lists direct targets."""
+"""Options of a platform that lists direct targets."""
 
 LOGS = SectionSpec(
     "logs",
@@ -66,7 +66,7 @@
 
 
 def instance_section(*more: Option) -> SectionSpec:
-    """Return the section on the process's own place, with further options."""
+    """Return the instance section with further options."""
     return SectionSpec(
         "instance",
         "Which instance this is and where it listens.",
@@ -78,7 +78,7 @@
                 "drain_notice",
                 OptionKind.SECONDS,
                 "3",
-                "How long a stopping process still answers, saying so, s.",
+                "Time for which a stopping process answers and announces its stop, s.",
             ),
             Option(
                 "drain_timeout",
--- a/packages/common/src/briarthread_common/core/__init__.py
+++ b/packages/common/src/briarthread_common/core/__init__.py
@@ -1,1 +1,1 @@
-"""Error kinds, events, logs and checks that every part uses."""
+"""Errors, events, logging, metrics and check messages."""
--- a/packages/common/src/briarthread_common/core/check_message.py
+++ b/packages/common/src/briarthread_common/core/check_message.py
@@ -6,7 +6,7 @@
 @dataclass(frozen=True, slots=True)
 class CheckMessage:
     """
-    Describe one fault with its place, a stable id and a hint.
+    Describe a fault with its location, a stable id and a hint.
 
     >>> print(CheckMessage("conf.E002", "[instance] name", "is missing", "Add it."))
     [instance] name: is missing (conf.E002). Add it.
--- a/packages/common/src/briarthread_common/core/error_kind.py
+++ b/packages/common/src/briarthread_common/core/error_kind.py
@@ -1,10 +1,10 @@
-"""The closed list of error kinds."""
+"""Closed set of error kinds."""
 
 from enum import StrEnum
 
 
 class ErrorKind(StrEnum):
-    """Name every way in which a request can fail."""
+    """Every reason for which a request can fail."""
 
     BAD_REQUEST = "bad-request"
     UNAUTHORIZED = "unauthorized"
--- a/packages/common/src/briarthread_common/core/error_response.py
+++ b/packages/common/src/briarthread_common/core/error_response.py
@@ -1,4 +1,4 @@
-"""The one table from an error kind to the answer that a caller gets."""
+"""Table of the response that a caller gets for each error kind."""
 
 from dataclasses import dataclass
 
@@ -9,10 +9,10 @@
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
     """
-    Describe the answer to one error kind.
+    Describe the response to one error kind.
 
-    ``retry_after`` is in seconds; ``None`` means that asking again without
-    a change is of no use.
+    ``retry_after`` is in seconds; ``None`` means that a retry of the unchanged
+    request is useless.
     """
 
     status: int
--- a/packages/common/src/briarthread_common/core/event.py
+++ b/packages/common/src/briarthread_common/core/event.py
@@ -1,4 +1,4 @@
-"""A decision worth explaining."""
+"""Recorded decision."""
 
 from dataclasses import dataclass
 
@@ -6,9 +6,9 @@
 @dataclass(frozen=True, slots=True)
 class Event:
     """
-    Record one decision: when (Unix seconds), what, about what, and why.
+    Record a decision with its Unix time in seconds, subject and reason.
 
-    ``request`` is the id of the request it concerns, or empty.
+    ``request`` is the id of the request that it concerns, or empty.
     """
 
     at: float
--- a/packages/common/src/briarthread_common/core/event_log.py
+++ b/packages/common/src/briarthread_common/core/event_log.py
@@ -1,4 +1,4 @@
-"""The bounded ring of events."""
+"""Ring buffer of events."""
 
 from collections import deque
 
@@ -11,7 +11,7 @@
 
 
 class EventLog:
-    """Keep the newest events for ``explain`` and write each to the log."""
+    """Keep the newest events for ``explain`` and log each event."""
 
     def __init__(self, clock: Clock, prefix: str, size: int = RING_SIZE) -> None:
         self.clock = clock
@@ -22,13 +22,11 @@
         """Record a decision about a subject and log it."""
         event = Event(self.clock.now(), decision, subject, reason, request)
         self.ring.append(event)
-        events_for = f" request={request}" if request else ""
-        logger.info(
-            "{}: {} {}{}: {}", self.prefix, decision, subject, events_for, reason
-        )
+        suffix = f" request={request}" if request else ""
+        logger.info("{}: {} {}{}: {}", self.prefix, decision, subject, suffix, reason)
 
     def events_for(self, subject: str) -> list[Event]:
-        """Return the events about a request id or a subject, oldest first."""
+        """Return the events for a request id or a subject, oldest first."""
         return [
             event
             for event in self.ring
--- a/packages/common/src/briarthread_common/core/exceptions.py
+++ b/packages/common/src/briarthread_common/core/exceptions.py
@@ -1,4 +1,4 @@
-"""The exception tree of briarthread."""
+"""Exception hierarchy of briarthread."""
 
 from collections.abc import Sequence
 
@@ -9,15 +9,15 @@
 
 
 class BriarthreadError(Exception):
-    """Root of every exception that briarthread raises on purpose."""
+    """Base class of briarthread's exceptions."""
 
 
 class RequestError(BriarthreadError):
     """
-    A request failed with a kind from the closed list.
+    A request failed; ``kind`` states the reason.
 
-    ``outcome`` and ``retry_after`` (seconds) default to the kind's row in
-    the table of answers.
+    ``outcome`` and ``retry_after`` (in seconds) default to the values that
+    ERROR_RESPONSES has for the kind.
     """
 
     def __init__(
@@ -29,15 +29,15 @@
         retry_after: float | None = None,
     ) -> None:
         super().__init__(f"{kind}: {detail}")
-        row = ERROR_RESPONSES[kind]
+        response = ERROR_RESPONSES[kind]
         self.kind = kind
         self.detail = detail
-        self.outcome = outcome or row.outcome
-        self.retry_after = row.retry_after if retry_after is None else retry_after
+        self.outcome = outcome or response.outcome
+        self.retry_after = response.retry_after if retry_after is None else retry_after
 
 
 class ChecksFailed(BriarthreadError):  # noqa: N818
-    """Settings or a services text have faults; all are listed at once."""
+    """Settings or a services text have faults; ``messages`` lists all of them."""
 
     def __init__(self, messages: Sequence[CheckMessage]) -> None:
         super().__init__("\n".join(str(message) for message in messages))
@@ -49,44 +49,44 @@
 
 
 class RequestNotSentError(ChannelError):
-    """Nothing of the call was written: the other side cannot have seen it."""
+    """Nothing of the call was sent, so the server cannot have received it."""
 
 
 class ConnectionRefused(RequestNotSentError):  # noqa: N818
-    """The address refused the connection: no process listens there."""
+    """The connection was refused: no process listens on the address."""
 
 
 class BrokenCallError(ChannelError):
-    """The call broke after it may have been written."""
+    """The call failed after some of it may have been sent."""
 
 
 class InvalidResponseError(BrokenCallError):
-    """The answer came, and is not a proper answer to the call."""
+    """A response was received but isn't a valid response to the call."""
 
 
 class PlatformError(BriarthreadError):
-    """The platform did not answer, or not with what its interface states."""
+    """The platform did not answer, or its answer violates its interface."""
 
 
 class DecodeError(BriarthreadError):
-    """A row of the platform is not what its interface states."""
+    """A row of the platform violates its interface."""
 
 
 class RankError(BriarthreadError):
-    """A rank's engine gave no proper answer."""
+    """A rank's engine gave no valid answer."""
 
 
 class HistoryTruncatedError(BriarthreadError):
-    """The platform no longer has the changes after the version asked for."""
+    """The platform no longer has the changes since the requested version."""
 
 
 class ConflictError(BriarthreadError):
-    """A transaction's check did not hold; nothing of it took effect."""
+    """A check of a transaction failed; none of its writes took effect."""
 
 
 class ListenError(BriarthreadError):
-    """The address in the settings cannot be listened on."""
+    """The process cannot listen on the configured address."""
 
 
 class FeedGapError(BriarthreadError):
-    """A patch starts above the version that the feed has."""
+    """A patch is based on a newer version than the feed has."""
--- a/packages/common/src/briarthread_common/core/exit_code.py
+++ b/packages/common/src/briarthread_common/core/exit_code.py
@@ -1,10 +1,10 @@
-"""The exit codes of both binaries."""
+"""Exit codes of the entry and the agent."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """Tell a script how a command ended."""
+    """Exit status of a command."""
 
     DONE = 0
     FAILED = 1
--- a/packages/common/src/briarthread_common/core/log_sink.py
+++ b/packages/common/src/briarthread_common/core/log_sink.py
@@ -1,4 +1,4 @@
-"""Where log lines go: to a stream, never holding the process up."""
+"""Log sink that writes to a stream without blocking the process."""
 
 import queue
 import threading
@@ -7,22 +7,22 @@
 from typing import TextIO
 
 MAX_QUEUED_LINES = 2000
-"""Lines that wait for a reader that is slow; some 400 KB."""
+"""Number of lines buffered for a slow reader, about 400 KB."""
 MAX_LINES_PER_SECOND = 500
-"""Lines taken in a second. A loaded entry writes some forty, so that only what
-repeats without end is left out; ten such instances fill a disk of 1 GB in an
-hour at most."""
+"""Lines accepted per second. A loaded entry writes about 40, so that only lines
+that repeat endlessly are dropped; ten instances at this limit take at least an hour
+to fill a disk of 1 GB."""
 STOP_TIMEOUT_SECONDS = 0.5
-"""Longest wait at the end for lines that are still to be written."""
+"""Longest wait for the remaining lines to be written when the sink stops."""
 
 
 class LogSink:
     """
-    Write lines from a thread of its own, and leave out what is too much.
+    Write lines from a background thread and drop excess lines.
 
-    A pipe that nobody reads blocks its writer. So lines are handed to a thread,
-    and when too many wait, or come within one second, the rest is left out. How
-    many were left out is said in a line as soon as there is room again.
+    A pipe that nobody reads blocks its writer, so lines are queued for a thread.
+    Lines are dropped while the queue is full or more than ``max_per_second`` arrive
+    in one second. The next accepted line is preceded by the number of dropped ones.
     """
 
     def __init__(
@@ -35,41 +35,41 @@
         self.stream = stream
         self.clock = clock
         self.max_per_second = max_per_second
-        self.waiting: queue.Queue[str | None] = queue.Queue(max_queued)
+        self.pending: queue.Queue[str | None] = queue.Queue(max_queued)
         self.second = 0
-        self.taken = 0
+        self.accepted = 0
         self.dropped = 0
         self.thread = threading.Thread(target=self._run, name="log", daemon=True)
         self.thread.start()
 
     def write(self, line: str) -> None:
-        """Take a line, or leave it out."""
+        """Queue a line, or drop it if the queue or the rate limit is exhausted."""
         second = int(self.clock())
         if second != self.second:
-            self.second, self.taken = second, 0
-        if self.taken >= self.max_per_second:
+            self.second, self.accepted = second, 0
+        if self.accepted >= self.max_per_second:
             self.dropped += 1
             return
-        self.taken += 1
+        self.accepted += 1
         if self.dropped:
             line = f"logs: {self.dropped} lines were left out before this\n{line}"
         try:
-            self.waiting.put_nowait(line)
+            self.pending.put_nowait(line)
             self.dropped = 0
         except queue.Full:
             self.dropped += 1
 
     def stop(self) -> None:
-        """Write what waits, as far as that is read in time."""
+        """Write the queued lines, as far as the reader takes them in time."""
         try:
-            self.waiting.put(None, timeout=STOP_TIMEOUT_SECONDS)
+            self.pending.put(None, timeout=STOP_TIMEOUT_SECONDS)
         except queue.Full:
             return
         self.thread.join(STOP_TIMEOUT_SECONDS)
 
     def _run(self) -> None:
-        while (line := self.waiting.get()) is not None:
+        while (line := self.pending.get()) is not None:
             self.stream.write(line)
-            if self.waiting.empty():
+            if self.pending.empty():
                 self.stream.flush()
         self.stream.flush()
--- a/packages/common/src/briarthread_common/core/logs.py
+++ b/packages/common/src/briarthread_common/core/logs.py
@@ -1,4 +1,4 @@
-"""Set up of the log."""
+"""Configuration of the log."""
 
 import sys
 
@@ -10,6 +10,6 @@
 
 
 def set_up_logs(level: str, as_json: bool) -> None:
-    """Send the log to standard output as text or as one JSON line each."""
+    """Write the log to standard output, as text or as one JSON object per line."""
     logger.remove()
     logger.add(LogSink(sys.stdout), level=level, format=TEXT_FORMAT, serialize=as_json)
--- a/packages/common/src/briarthread_common/core/metrics.py
+++ b/packages/common/src/briarthread_common/core/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one process."""
+"""Metrics of a process."""
 
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
@@ -7,10 +7,9 @@
 
 class Metrics:
     """
-    Hold the counters of one process in a registry of its own.
+    Hold the metrics of a process in a separate registry.
 
-    Each refusal and each retry is counted under its reason, which comes
-    from the closed list of error kinds.
+    Refusals and retries are counted by reason, which is one of the error kinds.
     """
 
     def __init__(self) -> None:
@@ -68,5 +67,5 @@
         )
 
     def render(self) -> bytes:
-        """Return all metrics in the text format of Prometheus."""
+        """Return all metrics in Prometheus' text format."""
         return generate_latest(self.registry)
--- a/packages/common/src/briarthread_common/core/outcome.py
+++ b/packages/common/src/briarthread_common/core/outcome.py
@@ -1,13 +1,13 @@
-"""What a failed answer promises about the request."""
+"""Outcome of a request as an error response states it."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
     """
-    Tell whether a failed request may have run.
+    Whether a failed request may have run.
 
-    ``NOT_RUN`` is a promise and needs proof; without proof the outcome is
+    ``NOT_RUN`` is a guarantee and requires proof; without proof the outcome is
     ``UNKNOWN``.
     """
 
--- a/packages/common/src/briarthread_common/core/run_loop.py
+++ b/packages/common/src/briarthread_common/core/run_loop.py
@@ -1,4 +1,4 @@
-"""The event loop that the binaries run on."""
+"""Event loop of the entry and the agent."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any, TypeVar
@@ -10,10 +10,10 @@
 
 def run_loop(function: Callable[..., Awaitable[T]], *arguments: Any) -> T:
     """
-    Run an asynchronous function on uvloop and return what it returns.
+    Run an asynchronous function on uvloop and return its result.
 
-    It costs a fifth less processor time an entry than the loop of the standard
-    library. Tests run on a loop whose time jumps, which that one cannot do.
+    An entry needs a fifth less CPU time on uvloop than on the standard library's
+    loop. Tests use a loop with virtual time, which uvloop doesn't support.
 
     >>> async def double(number: int) -> int:
     ...     return 2 * number
--- a/packages/common/src/briarthread_common/http/__init__.py
+++ b/packages/common/src/briarthread_common/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server and client sides, behind two small interfaces."""
+"""HTTP server and client."""
--- a/packages/common/src/briarthread_common/http/app.py
+++ b/packages/common/src/briarthread_common/http/app.py
@@ -1,4 +1,4 @@
-"""A small ASGI application made of routes."""
+"""Minimal ASGI application that dispatches calls to routes."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -16,23 +16,27 @@
 
 class ResponseAborted(Exception):  # noqa: N818
     """
-    An answer that had begun cannot be made whole.
+    A response that was already started cannot be completed.
 
-    The server then closes the connection without the body's end, so that
-    the other side never takes the part for the whole.
+    The server closes the connection without terminating the body, so that
+    the client can't mistake the truncated body for a complete one.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Tie a method and a path to a handler; a path ending in / is a prefix."""
+    """
+    Map a method and a path to a handler.
+
+    The method ``*`` matches any method; a path that ends in / matches as a prefix.
+    """
 
     method: str
     path: str
     handler: Handler
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a call is this route's."""
+        """Return whether the route matches a call."""
         if self.method not in ("*", method):
             return False
         if self.path.endswith("/"):
@@ -41,13 +45,13 @@
 
 
 class App:
-    """Answer each call by the first route that matches it."""
+    """Dispatch each call to the first matching route."""
 
     def __init__(self, routes: list[Route]) -> None:
         self.routes = routes
 
     async def __call__(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
-        """Serve one ASGI call."""
+        """Handle one ASGI call."""
         if scope["type"] != "http":
             return
         call = Call(scope, receive, send)
@@ -80,7 +84,7 @@
 
 
 def _is_abort(error: Exception) -> bool:
-    """Tell whether a task group failed by nothing but an aborted answer."""
+    """Return whether an exception group contains only ResponseAborted."""
     if not isinstance(error, ExceptionGroup):
         return False
     return error.split(ResponseAborted)[1] is None
--- a/packages/common/src/briarthread_common/http/call.py
+++ b/packages/common/src/briarthread_common/http/call.py
@@ -1,4 +1,4 @@
-"""One call that a process answers."""
+"""Server side of one HTTP call."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, TypeVar
@@ -21,21 +21,21 @@
 
 
 REPLY_TIMEOUT_SECONDS = 5.0
-"""Longest time that a slow reader holds a whole answer up."""
+"""Time limit for sending a complete response to a slow client."""
 
 
 class CallerDisconnected(Exception):  # noqa: N818
-    """The other side hung up before its answer was complete."""
+    """The client disconnected before the request or the response was complete."""
 
 
 class Call:
     """
-    Wrap one ASGI call: its head, its body and the answer to it.
+    Wrap one ASGI call: the request's head and body, and the response.
 
-    ``started`` says that the answer's head was sent, ``finished`` that its
-    end was. With ``close_connection`` the connection takes no call after this one. Header
-    names are lower case; a header given twice is refused, because two readers
-    could each take another one of the two.
+    ``started`` is true once the response's head was sent, ``finished`` once its
+    body was sent completely. ``close_connection`` closes the connection after
+    this call. Header names are lower case. A repeated header is rejected, because
+    two components could each use a different one of its values.
     """
 
     def __init__(
@@ -56,17 +56,17 @@
 
     @property
     def raw_path(self) -> str:
-        """Return the path as the caller escaped it."""
+        """Return the path with the caller's percent-encoding."""
         return self.scope["raw_path"].decode("latin-1")
 
     @property
     def raw_target(self) -> str:
-        """Return path and query as the caller wrote them."""
+        """Return the path and the query as received."""
         return f"{self.raw_path}?{self.query}" if self.query else self.raw_path
 
     @property
     def header_fields(self) -> list[tuple[str, str]]:
-        """Return all headers in order, names in lower case."""
+        """Return all headers in order, with lower-case names."""
         return [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self.scope["headers"]
@@ -74,22 +74,24 @@
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return the headers by lower-case name; raise for ambiguous ones."""
-        found: dict[str, str] = {}
+        """Return the headers by lower-case name; raise RequestError if ambiguous."""
+        by_name: dict[str, str] = {}
         for raw_name, raw_value in self.scope["headers"]:
             name = raw_name.decode("latin-1")
-            if name in found:
-                raise RequestError(ErrorKind.BAD_REQUEST, f"header {name} given twice")
-            found[name] = raw_value.decode("latin-1")
-        if "content-length" in found and "transfer-encoding" in found:
-            raise RequestError(ErrorKind.BAD_REQUEST, "body has two lengths")
-        return found
-
-    def _says(self, name: bytes, value: str) -> bool:
+            if name in by_name:
+                raise RequestError(ErrorKind.BAD_REQUEST, f"repeated header {name}")
+            by_name[name] = raw_value.decode("latin-1")
+        if "content-length" in by_name and "transfer-encoding" in by_name:
+            raise RequestError(
+                ErrorKind.BAD_REQUEST, "both content-length and transfer-encoding given"
+            )
+        return by_name
+
+    def _has_header(self, name: bytes, value: str) -> bool:
         return (name, value.encode()) in self.scope["headers"]
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole body; raise RequestError past ``limit`` bytes."""
+        """Return the body; raise RequestError if it exceeds ``limit`` bytes."""
         parts: list[bytes] = []
         size = 0
         while True:
@@ -107,54 +109,59 @@
                 return b"".join(parts)
 
     async def read_json(self, message_type: type[T], limit: int) -> T:
-        """Return the body as a typed message; raise RequestError otherwise."""
+        """Decode the JSON body; raise RequestError if it is invalid."""
         raw = await self.read_body(limit)
-        if self._says(b"content-encoding", ENCODING):
+        if self._has_header(b"content-encoding", ENCODING):
             raw = decompress_body(raw, limit)
         try:
             return msgspec.json.decode(raw, type=message_type)
         except msgspec.MsgspecError as error:
             raise RequestError(
-                ErrorKind.BAD_REQUEST, f"broken JSON: {error}"
+                ErrorKind.BAD_REQUEST, f"invalid JSON: {error}"
             ) from error
 
     async def wait_for_disconnect(self) -> None:
-        """Return when the other side has hung up."""
+        """Return once the client has disconnected."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
     async def cancel_on_disconnect(self, scope: anyio.CancelScope) -> None:
-        """Cancel a scope when the other side has hung up."""
+        """Cancel a scope once the client has disconnected."""
         await self.wait_for_disconnect()
         scope.cancel()
 
     async def reply(self, status: int, body: bytes, headers: Headers = ()) -> None:
-        """Send a whole answer; once begun, no deadline cuts it off."""
+        """
+        Send a complete response.
+
+        The send is shielded from cancellation, so that a deadline can't truncate
+        a response that was started; it ends after REPLY_TIMEOUT_SECONDS.
+        """
         with anyio.move_on_after(REPLY_TIMEOUT_SECONDS, shield=True):
             await self.start(status, [*headers, ("content-length", str(len(body)))])
             await self.send({"type": "http.response.body", "body": body})
             self.finished = True
 
     async def reply_json(self, message: object, status: int = 200) -> None:
-        """Send a message as JSON, compressed for a caller that takes that."""
+        """Send a message as JSON, compressed if the caller accepts that."""
         body = msgspec.json.encode(message)
         fields = [("content-type", "application/json")]
-        takes = self._says(b"accept-encoding", ENCODING)
-        body_compressed = compress_body(body) if takes else None
-        if body_compressed is not None:
-            body, fields = body_compressed, [*fields, CONTENT_ENCODING_HEADER]
+        accepted = self._has_header(b"accept-encoding", ENCODING)
+        compressed = compress_body(body) if accepted else None
+        if compressed is not None:
+            body, fields = compressed, [*fields, CONTENT_ENCODING_HEADER]
         await self.reply(status, body, fields)
 
     async def reply_error(
         self, error: RequestError, status: int, headers: Headers = ()
     ) -> None:
-        """Send a failed request's problem+json."""
+        """Send a failed request's problem+json response."""
         request_id = dict(headers).get("briarthread-request", "")
         body = problem_body(error, request_id)
         await self.reply(status, body, [*problem_headers(error), *headers])
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of an answer whose body follows in chunks."""
+        """Send the response's status and headers; the body follows in chunks."""
         self.started = True
         encoded = [(name.encode(), value.encode("latin-1")) for name, value in headers]
         if self.close_connection:
@@ -164,12 +171,12 @@
         )
 
     async def send_chunk(self, chunk: bytes) -> None:
-        """Send one part of the body."""
+        """Send one chunk of the body."""
         await self.send(
             {"type": "http.response.body", "body": chunk, "more_body": True}
         )
 
     async def finish(self) -> None:
-        """End a body sent in chunks; only now does it count as whole."""
+        """Terminate a body sent in chunks; without this it counts as truncated."""
         await self.send({"type": "http.response.body", "body": b""})
         self.finished = True
--- a/packages/common/src/briarthread_common/http/call_many.py
+++ b/packages/common/src/briarthread_common/http/call_many.py
@@ -1,4 +1,4 @@
-"""Calls to many processes at once."""
+"""Concurrent calls to many processes."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -21,11 +21,11 @@
     compressed: bool = False,
 ) -> dict[str, T]:
     """
-    Send each address its message and return the answers that came.
+    Send each address its message and return the answers by address.
 
-    A message of ``None`` makes a GET. Addresses that fail or take longer
-    than ``timeout`` seconds are left out of the answers; for ``compressed`` see
-    call_json.
+    A message of ``None`` is sent as a GET. Addresses that fail or take longer
+    than ``timeout`` seconds are omitted from the result; for ``compressed`` see
+    call_json().
     """
     answers: dict[str, T] = {}
 
--- a/packages/common/src/briarthread_common/http/channel.py
+++ b/packages/common/src/briarthread_common/http/channel.py
@@ -1,4 +1,4 @@
-"""The interface through which a process calls another."""
+"""Interface for calls to other processes."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import AbstractAsyncContextManager
@@ -9,11 +9,11 @@
 @dataclass(frozen=True, slots=True)
 class ChannelRequest:
     """
-    Describe a call: ``address`` is IP:PORT, header names lower case.
+    Describe a call; ``address`` is IP:PORT, header names are lower case.
 
-    A ``host`` among the headers replaces the address there. A body of
-    ``None`` sends none at all. ``new_connection`` asks for a connection that carried
-    no call before, whose state therefore cannot be doubted.
+    A ``host`` header overrides the one derived from the address. With a body of
+    ``None`` no body is sent. ``new_connection`` sends the call over a connection
+    that carried no call before, so that there is no doubt about its state.
     """
 
     method: str
@@ -27,11 +27,11 @@
 @dataclass(frozen=True, slots=True)
 class ChannelResponse:
     """
-    Hold the head of an answer and its body to come.
+    Hold the head of a response and an iterator over its body.
 
     ``headers`` has the last value of each name, ``fields`` all of them in
-    order; names are lower case. Iterating ``body`` raises BrokenCallError when
-    it ends short.
+    order; names are lower case. Iterating over ``body`` raises BrokenCallError
+    if the body is truncated.
     """
 
     status: int
@@ -41,15 +41,15 @@
 
 
 class Channel(Protocol):
-    """Call other processes; tests put a fake with faults in its place."""
+    """Call other processes; tests replace it with a fake that injects faults."""
 
     def stream(
         self, request: ChannelRequest
     ) -> AbstractAsyncContextManager[ChannelResponse]:
         """
-        Send a call and give its answer while the context lasts.
+        Send a call and return a context manager for its response.
 
-        Raise RequestNotSentError when nothing was written, BrokenCallError when
+        Raise RequestNotSentError if nothing was written, BrokenCallError if
         something may have been.
         """
         ...
--- a/packages/common/src/briarthread_common/http/channel_calls.py
+++ b/packages/common/src/briarthread_common/http/channel_calls.py
@@ -1,4 +1,4 @@
-"""Whole calls over a channel."""
+"""JSON calls over a channel."""
 
 from collections.abc import AsyncIterator
 from typing import TypeVar
@@ -19,11 +19,11 @@
 T = TypeVar("T")
 JSON_HEADERS = (("content-type", "application/json"),)
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
-"""Largest message between processes; a whole text at full size is 1 MB."""
+"""Largest message between processes; a services text of full size is 1 MB."""
 
 
 async def read_bounded(chunks: AsyncIterator[bytes], limit: int) -> bytes:
-    """Join the chunks of a body; raise BrokenCallError past the limit."""
+    """Join a body's chunks; raise BrokenCallError if they exceed ``limit`` bytes."""
     parts: list[bytes] = []
     size = 0
     async for chunk in chunks:
@@ -45,11 +45,11 @@
     compressed: bool = False,
 ) -> T:
     """
-    Send a message as JSON and return the typed answer.
+    Send a message as JSON and return the decoded answer.
 
-    Raise ChannelError when the call fails, takes longer than ``timeout``
-    seconds or is answered with anything but the expected JSON. Between our own
-    processes large bodies are ``compressed``.
+    Raise ChannelError if the call fails, takes longer than ``timeout``
+    seconds or is answered with anything but the expected JSON. ``compressed``
+    compresses large bodies, which only briarthread's own processes support.
     """
     request = _json_request(address, method, path, message, compressed)
     try:
@@ -65,7 +65,7 @@
             raw = decompress_body(raw, MAX_MESSAGE_BYTES)
         return msgspec.json.decode(raw, type=answer_type)
     except (msgspec.MsgspecError, RequestError) as error:
-        raise BrokenCallError(f"{address} sent broken JSON: {error}") from error
+        raise BrokenCallError(f"{address} sent invalid JSON: {error}") from error
 
 
 def _json_request(
@@ -75,7 +75,7 @@
     if not compressed:
         return ChannelRequest(method, address, path, JSON_HEADERS, body)
     headers = (*JSON_HEADERS, ACCEPT_ENCODING_HEADER)
-    small = compress_body(body)
-    if small is not None:
-        body, headers = small, (*headers, CONTENT_ENCODING_HEADER)
+    compressed_body = compress_body(body)
+    if compressed_body is not None:
+        body, headers = compressed_body, (*headers, CONTENT_ENCODING_HEADER)
     return ChannelRequest(method, address, path, headers, body)
--- a/packages/common/src/briarthread_common/http/channel_options.py
+++ b/packages/common/src/briarthread_common/http/channel_options.py
@@ -1,21 +1,22 @@
-"""How a channel keeps its connections."""
+"""Connection options of a channel."""
 
 import socket
 from dataclasses import dataclass
 
 KEEPALIVE_PROBE_SECONDS = 1
-"""Pause before and between keep-alive probes of the kernel."""
+"""Idle time before the first TCP keep-alive probe, and time between probes."""
 KEEPALIVE_PROBES = 2
+"""Number of unanswered probes after which the kernel closes the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelOptions:
     """
-    Bound the connections to one address; times are in seconds.
+    Limit the connections to one address; times are in seconds.
 
-    ``user_timeout_seconds`` is how long the kernel goes on sending to a peer that
-    does not acknowledge; it is the only sign of a path that was cut. 0
-    leaves the kernel's own limit, which is many minutes.
+    ``user_timeout_seconds`` is how long the kernel retransmits to a peer that
+    doesn't acknowledge, which is the only sign of an interrupted network path.
+    0 keeps the kernel's own limit, which is many minutes.
     """
 
     connect_timeout: float = 1.0
@@ -25,7 +26,7 @@
     user_timeout_seconds: float = 0.0
 
     def socket_options(self) -> list[tuple[int, int, int]]:
-        """Return the options that make a dead path show itself."""
+        """Return the socket options that detect an interrupted network path."""
         if not self.user_timeout_seconds:
             return []
         milliseconds = int(self.user_timeout_seconds * 1000)
--- a/packages/common/src/briarthread_common/http/compression.py
+++ b/packages/common/src/briarthread_common/http/compression.py
@@ -1,9 +1,10 @@
 """
-Compressed bodies between our own processes.
+Compression of bodies between briarthread's own processes.
 
-It answers instances whose links carry 3 Mbit/s and the answers of a target as well:
-a configuration with a thousand routes, or a change of a map of 129 ranks, would hold
-those up for tenths of a second. Such bodies shrink to a fourth and less.
+Some instances have links of 3 Mbit/s, which also carry the responses of a target.
+Without compression, a configuration with a thousand routes or a change of a map of
+129 ranks would delay those responses by tenths of a second. Compression reduces such
+bodies to a quarter of their size or less.
 """
 
 import zlib
@@ -16,30 +17,34 @@
 CONTENT_ENCODING_HEADER = ("content-encoding", ENCODING)
 ACCEPT_ENCODING_HEADER = ("accept-encoding", ENCODING)
 MIN_COMPRESSED_BYTES = 2048
-"""Size from which on a body is compressed: less fits into two packets anyway."""
-LEVEL = 1
-"""The fastest level; a hundred kilobytes take some two milliseconds."""
+"""Minimum size of a body that is compressed; a smaller one fits into two packets."""
+COMPRESSION_LEVEL = 1
+"""The fastest level; it compresses 100 kB in about 2 ms."""
 
 
 def compress_body(body: bytes) -> bytes | None:
-    """Return a body compressed, ``None`` where it is too small for that."""
-    return zlib.compress(body, LEVEL) if len(body) >= MIN_COMPRESSED_BYTES else None
+    """Return the compressed body, or ``None`` if it is too small to compress."""
+    return (
+        zlib.compress(body, COMPRESSION_LEVEL)
+        if len(body) >= MIN_COMPRESSED_BYTES
+        else None
+    )
 
 
 def decompress_body(body: bytes, limit: int) -> bytes:
     """
-    Return a body as it was; raise RequestError if it is broken or over a limit.
+    Return the decompressed body; raise RequestError if invalid or over ``limit``.
 
     >>> decompress_body(compress_body(b"x" * 5000), limit=5000) == b"x" * 5000
     True
     """
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        whole = reader.decompress(body, limit + 1)
+        decompressed = decompressor.decompress(body, limit + 1)
     except zlib.error as error:
         raise RequestError(ErrorKind.BAD_REQUEST, f"broken body: {error}") from error
-    if len(whole) > limit:
+    if len(decompressed) > limit:
         raise RequestError(ErrorKind.BODY_TOO_LARGE, f"body is over {limit} bytes")
-    if not reader.eof:
-        raise RequestError(ErrorKind.BAD_REQUEST, "broken body: it ends short")
-    return whole
+    if not decompressor.eof:
+        raise RequestError(ErrorKind.BAD_REQUEST, "broken body: truncated")
+    return decompressed
--- a/packages/common/src/briarthread_common/http/forwarded_headers.py
+++ b/packages/common/src/briarthread_common/http/forwarded_headers.py
@@ -1,12 +1,12 @@
-"""The headers that travel with a request and with its answer."""
+"""Headers that are forwarded with a request and with its response."""
 
 FORWARDED_REQUEST_HEADERS = frozenset({"content-type", "accept", "accept-language"})
-"""Headers of a caller that reach the target."""
+"""Request headers that are forwarded to the target."""
 
 FORWARDED_RESPONSE_HEADERS = frozenset(
     {"content-type", "cache-control", "content-language"}
 )
-"""Headers of a target that reach the caller."""
+"""Response headers that are forwarded to the caller."""
 
 STREAM_CONTENT_TYPE = "text/event-stream"
-"""Answers of this type are passed on as they come."""
+"""Content type of responses that are streamed to the caller without buffering."""
--- a/packages/common/src/briarthread_common/http/http_channel.py
+++ b/packages/common/src/briarthread_common/http/http_channel.py
@@ -1,4 +1,4 @@
-"""Calls over TCP through httpcore."""
+"""Channel that calls over HTTP with httpcore."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -16,10 +16,10 @@
 
 class HttpChannel:
     """
-    Keep one connection pool for each address.
+    Call other processes, with one connection pool for each address.
 
-    A pool searches all its connections at each call, so one pool for all
-    addresses would cost each call time in proportion to the peers.
+    A pool searches all its connections at each call, so with a single pool for
+    all addresses the cost of a call would grow with the number of peers.
     """
 
     def __init__(self, options: ChannelOptions | None = None) -> None:
@@ -29,8 +29,8 @@
 
     @asynccontextmanager
     async def stream(self, request: ChannelRequest) -> AsyncIterator[ChannelResponse]:
-        """Send a call over a kept connection; see Channel."""
-        opened = self._pool(request.address, request.new_connection).stream(
+        """Send a call over a pooled connection; see Channel."""
+        response_context = self._pool(request.address, request.new_connection).stream(
             request.method,
             _url(request),
             headers=_headers(request),
@@ -38,21 +38,21 @@
             extensions=self.extensions,
         )
         try:
-            async with opened as response:
+            async with response_context as response:
                 fields = _decode_headers(response.headers)
                 yield ChannelResponse(
                     response.status, dict(fields), _body(response), fields
                 )
         except httpcore.ConnectError as error:
-            raise ConnectionRefused(_reason(request, error)) from error
+            raise ConnectionRefused(_describe_error(request, error)) from error
         except (httpcore.ConnectTimeout, httpcore.PoolTimeout) as error:
-            raise RequestNotSentError(_reason(request, error)) from error
+            raise RequestNotSentError(_describe_error(request, error)) from error
         except (
             httpcore.NetworkError,
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ) as error:
-            raise BrokenCallError(_reason(request, error)) from error
+            raise BrokenCallError(_describe_error(request, error)) from error
 
     async def close(self) -> None:
         """Close every pool."""
@@ -76,24 +76,24 @@
 
 
 def _url(request: ChannelRequest) -> httpcore.URL:
-    """Return the URL with the path as it stands, whatever it is escaped like."""
+    """Return the URL; the path is sent with its percent-encoding unchanged."""
     host, _, port = request.address.rpartition(":")
     return httpcore.URL(
         scheme="http", host=host, port=int(port), target=request.path.encode("latin-1")
     )
 
 
-def _reason(request: ChannelRequest, error: Exception) -> str:
-    """Name the failure; the library's own errors often carry no text."""
+def _describe_error(request: ChannelRequest, error: Exception) -> str:
+    """Describe a failure by its type, since httpcore's errors often have no text."""
     text = f" {error}" if str(error) else ""
     return f"{request.address}: {type(error).__name__}{text}"
 
 
 def _headers(request: ChannelRequest) -> list[tuple[bytes, bytes]]:
-    named = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in request.headers]
-    if any(name == b"host" for name, _ in named):
-        return named
-    return [(b"host", request.address.encode()), *named]
+    encoded = [(n.encode("latin-1"), v.encode("latin-1")) for n, v in request.headers]
+    if any(name == b"host" for name, _ in encoded):
+        return encoded
+    return [(b"host", request.address.encode()), *encoded]
 
 
 def _decode_headers(raw: list[tuple[bytes, bytes]]) -> tuple[tuple[str, str], ...]:
--- a/packages/common/src/briarthread_common/http/json_route.py
+++ b/packages/common/src/briarthread_common/http/json_route.py
@@ -1,4 +1,4 @@
-"""A route whose message and answer are JSON."""
+"""Routes with JSON messages and answers."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -8,7 +8,7 @@
 
 T = TypeVar("T")
 MAX_SMALL_MESSAGE_BYTES = 1000
-"""Largest message, in bytes, that names a few numbers and a group."""
+"""Size limit, in bytes, of messages with a few numbers and a group name."""
 
 
 def json_route(
@@ -18,9 +18,9 @@
     limit: int = MAX_SMALL_MESSAGE_BYTES,
 ) -> Route:
     """
-    Return a route that answers messages of a type.
+    Return a route that decodes a message and sends the handler's answer.
 
-    A message of more than ``limit`` bytes, or of another shape, is refused.
+    A message of more than ``limit`` bytes, or not of the type, is rejected.
     """
 
     async def handle(call: Call) -> None:
--- a/packages/common/src/briarthread_common/http/lines.py
+++ b/packages/common/src/briarthread_common/http/lines.py
@@ -1,12 +1,12 @@
-"""Bodies that are made of lines."""
+"""Reading of bodies that consist of lines."""
 
 from collections.abc import AsyncIterator
 
 
 async def read_lines(body: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Give the whole lines of a body, without their ends."""
-    rest = b""
+    """Yield the complete lines of a body, without line ends."""
+    incomplete = b""
     async for chunk in body:
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, incomplete = (incomplete + chunk).split(b"\n")
         for line in lines:
             yield line
--- a/packages/common/src/briarthread_common/http/port_app.py
+++ b/packages/common/src/briarthread_common/http/port_app.py
@@ -1,18 +1,18 @@
-"""One application for several listeners."""
+"""ASGI application that dispatches by port."""
 
 from collections.abc import Mapping
 from typing import Any
 
 
 class PortApp:
-    """Give each call to the application of the port that it came in at."""
+    """Dispatch each call to the application of the port that received it."""
 
-    def __init__(self, by_port: Mapping[int, Any], other: Any) -> None:
-        self.by_port = by_port
-        self.other = other
+    def __init__(self, apps_by_port: Mapping[int, Any], default_app: Any) -> None:
+        self.apps_by_port = apps_by_port
+        self.default_app = default_app
 
     async def __call__(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
-        """Serve one ASGI call."""
+        """Handle one ASGI call."""
         server = scope.get("server")
         port = server[1] if server else None
-        await self.by_port.get(port, self.other)(scope, receive, send)
+        await self.apps_by_port.get(port, self.default_app)(scope, receive, send)
--- a/packages/common/src/briarthread_common/http/problem.py
+++ b/packages/common/src/briarthread_common/http/problem.py
@@ -1,4 +1,4 @@
-"""Error answers as problem+json."""
+"""Error responses as problem+json."""
 
 import math
 
@@ -28,15 +28,15 @@
     """
     Return the headers of a failed request.
 
-    ``Retry-After`` is in whole seconds and never rounds down to nothing, or,
-    for callers known to read fractions, ``exact`` to a millisecond.
+    ``Retry-After`` is rounded up to whole seconds and is at least 1. With ``exact``,
+    for callers known to parse fractions, it has milliseconds instead.
     """
     headers = [
         ("content-type", PROBLEM_TYPE),
         ("briarthread-outcome", str(error.outcome)),
     ]
     if error.retry_after is not None:
-        whole = max(1, math.ceil(error.retry_after))
-        value = f"{error.retry_after:.3f}" if exact else str(whole)
+        whole_seconds = max(1, math.ceil(error.retry_after))
+        value = f"{error.retry_after:.3f}" if exact else str(whole_seconds)
         headers.append(("retry-after", value))
     return headers
--- a/packages/common/src/briarthread_common/http/report_stream.py
+++ b/packages/common/src/briarthread_common/http/report_stream.py
@@ -1,4 +1,4 @@
-"""A report that is sent as lines over a held call whenever it changes."""
+"""Streams of reports, sent as JSON lines in the response to a long-lived call."""
 
 from collections.abc import AsyncIterator, Callable
 from typing import Generic, TypeVar
@@ -14,39 +14,39 @@
 T = TypeVar("T")
 
 HEARTBEAT_SECONDS = 1.0
-"""Longest time between two lines, by which a reader knows that this lives."""
+"""Longest time between two lines, so that readers can detect a lost reporter."""
 REPORT_TIMEOUT_SECONDS = 1.5
-"""Silence after which a reporter counts as lost: it sends a line each second,
-and half a second more is what a busy link may take."""
+"""Time without a line after which a reporter counts as lost. It sends a line each
+second, and a busy link may delay that by another half second."""
 
 
 class ReportStream(Generic[T]):
     """
-    Send a line whenever a report has changed, and one each second.
+    Send a line when a report has changed, and at least one each second.
 
-    ``current`` gives the report, ``same`` tells whether a newer one is worth a
-    line, and ``every`` is the shortest time between two lines in seconds.
-    ``closed`` can be shared by several that end together.
+    ``get_report`` returns the current report, ``is_unchanged`` compares the last one
+    sent with the current one, and ``min_interval`` is the shortest time between two
+    lines in seconds. Streams that share ``closed`` end together.
     """
 
     def __init__(
         self,
-        current: Callable[[], T],
-        same: Callable[[T, T], bool],
-        every: float,
+        get_report: Callable[[], T],
+        is_unchanged: Callable[[T, T], bool],
+        min_interval: float,
         closed: anyio.Event | None = None,
     ) -> None:
-        self.current = current
-        self.same = same
-        self.every = every
+        self.get_report = get_report
+        self.is_unchanged = is_unchanged
+        self.min_interval = min_interval
         self.closed = closed or anyio.Event()
 
     def close(self) -> None:
-        """End all streams, so that the server's stop need not wait for them."""
+        """End all streams, so that they don't delay the server's shutdown."""
         self.closed.set()
 
     async def handle(self, call: Call) -> None:
-        """Send lines until the reader hangs up."""
+        """Send lines until the reader disconnects or the stream is closed."""
         await call.start(200, [("content-type", "application/x-ndjson")])
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_lines, call)
@@ -57,24 +57,25 @@
 
     async def _send_lines(self, call: Call) -> None:
         while True:
-            sent = self.current()
+            sent = self.get_report()
             await call.send_chunk(msgspec.json.encode(sent) + b"\n")
             with anyio.move_on_after(HEARTBEAT_SECONDS):
-                await self._wait_change(sent)
+                await self._wait_for_change(sent)
 
-    async def _wait_change(self, sent: T) -> None:
-        await anyio.sleep(self.every)
-        while self.same(sent, self.current()):
-            await anyio.sleep(self.every)
+    async def _wait_for_change(self, sent: T) -> None:
+        await anyio.sleep(self.min_interval)
+        while self.is_unchanged(sent, self.get_report()):
+            await anyio.sleep(self.min_interval)
 
 
 async def read_report_stream(
     channel: Channel, address: str, path: str, report: type[T]
 ) -> AsyncIterator[T]:
     """
-    Give the reports of a stream as they come.
+    Yield the reports of a stream as they arrive.
 
-    Raise BrokenCallError when it ends, falls silent or cannot be read.
+    Raise BrokenCallError when the stream ends, sends no line for
+    REPORT_TIMEOUT_SECONDS or contains an invalid report.
     """
     request = ChannelRequest("GET", address, path, body=None)
     async with channel.stream(request) as response:
@@ -85,10 +86,10 @@
 
 async def _next_line(lines: AsyncIterator[bytes]) -> bytes:
     line = None
-    with anyio.move_on_after(REPORT_TIMEOUT_SECONDS) as patience:
+    with anyio.move_on_after(REPORT_TIMEOUT_SECONDS) as timeout:
         line = await anext(lines, None)
-    if patience.cancelled_caught:
-        raise BrokenCallError("no report for too long")
+    if timeout.cancelled_caught:
+        raise BrokenCallError("no report within the time limit")
     if line is None:
         raise BrokenCallError("the stream of reports ended")
     return line
@@ -98,4 +99,4 @@
     try:
         return msgspec.json.decode(line, type=report)
     except msgspec.MsgspecError as error:
-        raise BrokenCallError(f"broken report: {error}") from error
+        raise BrokenCallError(f"invalid report: {error}") from error
--- a/packages/common/src/briarthread_common/http/server.py
+++ b/packages/common/src/briarthread_common/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a process."""
+"""HTTP server of a process, based on uvicorn."""
 
 import contextlib
 import logging
@@ -14,16 +14,16 @@
 from briarthread_common.core.exceptions import ListenError
 
 KEEPALIVE_SECONDS = 75
-"""Longer than the client's, so that the client closes first."""
+"""Longer than the client's idle timeout, so that the client closes first."""
 MAX_HEADER_BYTES = 32 * 1024
 BACKLOG = 2048
 UVICORN_LOGGER = logging.getLogger("uvicorn.error")
-"""The library's log. It writes a whole traceback for each answer that is cut
-off on purpose; what led to the cut is in our own log, with the request's id."""
+"""uvicorn's logger. It writes a traceback for each response that is truncated on
+purpose; the cause is in briarthread's own log, with the request's id."""
 
 
-class _QuietServer(uvicorn.Server):
-    """A uvicorn server that leaves the signals to us."""
+class _Server(uvicorn.Server):
+    """A uvicorn server that doesn't handle signals; HttpServer does."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -31,24 +31,26 @@
 
 
 class _HeadTooLarge(Exception):  # noqa: N818
-    """A caller sent more header bytes than are taken."""
+    """The head of a request exceeds MAX_HEADER_BYTES."""
 
 
-class _PatientProtocol(HttpToolsProtocol):
+class _LimitedProtocol(HttpToolsProtocol):
     """
-    A connection that takes its idle time from the settings at each pause.
+    A connection with a limited request head and a configurable idle timeout.
 
-    The parser bounds nothing by itself, so the bytes of a head are counted as
-    they come; too many end the connection with the answer to a broken request.
+    The idle timeout is read from the configuration whenever the connection becomes
+    idle. The parser limits nothing by itself, so the bytes of a head are counted as
+    they arrive; too many of them end the connection with the response to a malformed
+    request.
     """
 
     in_head = False
     head_bytes = 0
-    unended = 0
+    incomplete_head_bytes = 0
 
     @property
     def timeout_keep_alive(self) -> float:
-        """Return the seconds that the connection may be idle."""
+        """Return the idle timeout in seconds."""
         return self.config.timeout_keep_alive
 
     @timeout_keep_alive.setter
@@ -56,31 +58,31 @@
         pass
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; refuse a head that goes on without an end."""
+        """Parse received bytes; reject a head that is too large and incomplete."""
         super().data_received(data)
         if self.in_head:
-            self.unended += len(data)
-            if self.unended > MAX_HEADER_BYTES:
+            self.incomplete_head_bytes += len(data)
+            if self.incomplete_head_bytes > MAX_HEADER_BYTES:
                 self.send_400_response("The head of the request is too large.")
 
     def on_message_begin(self) -> None:
-        """Begin to count a head."""
+        """Reset the counters at the start of a request."""
         self.in_head = True
-        self.head_bytes = self.unended = 0
+        self.head_bytes = self.incomplete_head_bytes = 0
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Take a whole head."""
+        """Note that the head is complete."""
         self.in_head = False
         super().on_headers_complete()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Count the bytes of a part of the request target."""
         self._count(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Count the bytes of a header."""
         self._count(len(name) + len(value))
         super().on_header(name, value)
 
@@ -92,11 +94,11 @@
 
 class HttpServer:
     """
-    Serve an application and stop it gracefully.
+    Serve an application and shut it down gracefully.
 
-    At SIGTERM or SIGINT the ``on_drain`` callback runs first (it says that
-    the process is leaving and may wait for that to be heard), then the
-    listener closes and the requests in flight are awaited.
+    On SIGTERM or SIGINT the ``on_drain`` callback runs first; it announces that
+    the process is leaving and may wait until the announcement has spread. Then the
+    listeners are closed and the requests in flight are awaited.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
         UVICORN_LOGGER.setLevel(logging.CRITICAL)
         self.config = uvicorn.Config(
             app,
-            http=_PatientProtocol,
+            http=_LimitedProtocol,
             lifespan="off",
             log_config=None,
             access_log=False,
@@ -116,10 +118,10 @@
             timeout_keep_alive=KEEPALIVE_SECONDS,
             timeout_graceful_shutdown=int(drain_timeout) + 1,
         )
-        self.server = _QuietServer(self.config)
+        self.server = _Server(self.config)
 
     async def run(self, on_drain: Callable[[], Awaitable[None]]) -> None:
-        """Serve until a signal asks to stop and all requests are done."""
+        """Serve until a stop signal arrives and all requests are complete."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._wait_signal, on_drain)
             await self.server.serve(self.listeners)
@@ -128,7 +130,7 @@
             listener.close()
 
     def set_idle_timeout(self, seconds: float) -> None:
-        """Keep idle connections open for this long from now on."""
+        """Set the idle timeout of connections, existing ones included."""
         self.config.timeout_keep_alive = seconds
 
     async def _wait_signal(self, on_drain: Callable[[], Awaitable[None]]) -> None:
@@ -141,10 +143,10 @@
 
 def open_listener(listen: str) -> socket.socket:
     """
-    Return a socket that listens at IP:PORT or raise ListenError.
+    Return a socket that listens on IP:PORT; raise ListenError if that fails.
 
-    The protocol is stated, because asyncio turns Nagle's algorithm off only
-    on sockets that say they are TCP; with it on each answer took 40 ms more.
+    The protocol is set explicitly, because asyncio disables Nagle's algorithm only
+    on sockets whose protocol is TCP; with it each response took 40 ms longer.
     """
     host, _, port = listen.rpartition(":")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
--- a/packages/common/src/briarthread_common/http/status_pages.py
+++ b/packages/common/src/briarthread_common/http/status_pages.py
@@ -1,4 +1,4 @@
-"""The pages that both binaries answer about themselves."""
+"""Health, metrics and status pages of the entry and the agent."""
 
 from collections.abc import Callable
 
@@ -16,10 +16,10 @@
 
 class StatusPages:
     """
-    Answer health, readiness, metrics, status and explain.
+    Serve the health, readiness, metrics, status and explain pages.
 
-    ``ready`` returns the reason why the process is not ready, or nothing;
-    ``status`` returns what the status page shows.
+    ``ready`` returns why the process is not ready, or an empty string;
+    ``status`` returns the content of the status page.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self.status = status
 
     def routes(self) -> list[Route]:
-        """Return the routes of the pages."""
+        """Return the pages' routes."""
         return [
             Route("GET", "/healthz", self._handle_health),
             Route("GET", "/readyz", self._handle_ready),
--- a/packages/common/src/briarthread_common/messages/__init__.py
+++ b/packages/common/src/briarthread_common/messages/__init__.py
@@ -1,1 +1,1 @@
-"""The typed messages that processes send to one another."""
+"""Typed messages between processes."""
--- a/packages/common/src/briarthread_common/messages/attempt.py
+++ b/packages/common/src/briarthread_common/messages/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to run a request on one agent."""
+"""An attempt to run a request through an agent."""
 
 from dataclasses import dataclass
 
@@ -8,21 +8,21 @@
 RESULT_HEADER = "briarthread-result"
 LOAD_HEADER = "briarthread-load"
 ANSWERED = "answered"
-"""The result of an attempt that has an answer; others name an error kind."""
+"""Result of an attempt that has a response; other results are error kinds."""
 NO_SHARE = -1
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
     """
-    Describe an attempt; it travels as JSON in a header beside the body.
-
-    ``key`` names the request across attempts and is made from the account
-    and the caller's idempotency key, or drawn at random (``keyed`` false);
-    ``id`` is drawn at random for this attempt alone.
-    ``incarnation`` is that of the agent it is meant for; any other refuses
-    it. ``deadline`` is Unix time in seconds. ``share`` and ``share_version``
-    name the row under which the entry believes that the agent holds the key.
+    Describe an attempt; it is sent as JSON in a header.
+
+    ``key`` identifies the request across its attempts. It is derived from the
+    account and the caller's idempotency key or, if ``keyed`` is false, random;
+    ``id`` is random and identifies this attempt.
+    ``incarnation`` is that of the intended agent; any other one refuses the
+    attempt. ``deadline`` is a Unix time in seconds. ``share`` and ``share_version``
+    identify the row under which the agent holds the key, as far as the entry knows.
     """
 
     key: str
@@ -41,5 +41,5 @@
     share_version: int = 0
 
     def fingerprint(self, body: bytes) -> int:
-        """Return a hash of what is asked, to notice a key used twice."""
+        """Return a hash of the request, which detects a reused idempotency key."""
         return stable_hash(self.method, self.path, body.hex())
--- a/packages/common/src/briarthread_common/messages/crash_words.py
+++ b/packages/common/src/briarthread_common/messages/crash_words.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of requests under which targets crashed."""
+"""Reports that entries exchange on requests during which targets crashed."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,9 +9,9 @@
 @dataclass(frozen=True, slots=True)
 class CrashStrike:
     """
-    Say that a target crashed while it had begun a request.
+    Record that a target crashed while it was running a request.
 
-    ``began`` and ``ended`` are how many seconds ago the run began and broke off.
+    ``began`` and ``ended`` are how many seconds ago the run began and was interrupted.
     """
 
     target: str
@@ -19,17 +19,17 @@
     ended: float
 
     def aged(self, seconds: float) -> "CrashStrike":
-        """Return the strike as it is some seconds later."""
+        """Return a copy that is ``seconds`` older."""
         return CrashStrike(self.target, self.began + seconds, self.ended + seconds)
 
 
 class CrashWords(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Hold words on requests by their digests.
+    Report on requests, by their digests.
 
-    ``strikes`` are those that an entry saw itself. ``cleared`` tells how many seconds
-    ago a request that had strikes was answered whole, ``shut_out`` how long ago one
-    that is shut out was last asked.
+    ``strikes`` are the crashes that an entry itself observed. ``cleared`` is how many
+    seconds ago a request with strikes got a complete response, ``shut_out`` how many
+    seconds ago a blocked request was last received.
     """
 
     strikes: dict[str, tuple[CrashStrike, ...]] = {}
@@ -37,11 +37,11 @@
     shut_out: dict[str, float] = {}
 
     def __bool__(self) -> bool:
-        """Tell whether anything is said."""
+        """Return whether the report has any content."""
         return bool(self.strikes or self.cleared or self.shut_out)
 
     def same_as(self, other: "CrashWords") -> bool:
-        """Tell whether another says the same, whatever its age."""
+        """Return whether another report has the same content, regardless of age."""
         return (
             self.cleared.keys() == other.cleared.keys()
             and self.shut_out.keys() == other.shut_out.keys()
@@ -51,7 +51,7 @@
 
     def aged(self, seconds: float) -> "CrashWords":
         """
-        Return the words as they are some seconds later.
+        Return a copy that is ``seconds`` older.
 
         >>> CrashWords(shut_out={"d": 1.0}).aged(0.5).shut_out
         {'d': 1.5}
@@ -66,23 +66,23 @@
         )
 
 
-def merge_crash_words(told: Iterable[CrashWords]) -> CrashWords:
+def merge_crash_words(reports: Iterable[CrashWords]) -> CrashWords:
     """
-    Return what several say together.
+    Merge the reports of several entries.
 
     >>> one = CrashWords({"d": (CrashStrike("t-1", 1.0, 0.9),)}, {"e": 2.0})
     >>> both = merge_crash_words([one, CrashWords({}, {"e": 1.0})])
     >>> both.cleared, len(both.strikes["d"])
     ({'e': 1.0}, 1)
     """
-    both = CrashWords({}, {}, {})
-    for words in told:
-        for digest, strikes in words.strikes.items():
-            both.strikes[digest] = (*both.strikes.get(digest, ()), *strikes)
-        for kept, said in (
-            (both.cleared, words.cleared),
-            (both.shut_out, words.shut_out),
+    merged = CrashWords({}, {}, {})
+    for report in reports:
+        for digest, strikes in report.strikes.items():
+            merged.strikes[digest] = (*merged.strikes.get(digest, ()), *strikes)
+        for merged_ages, ages in (
+            (merged.cleared, report.cleared),
+            (merged.shut_out, report.shut_out),
         ):
-            for digest, age in said.items():
-                kept[digest] = min(age, kept.get(digest, age))
-    return both
+            for digest, age in ages.items():
+                merged_ages[digest] = min(age, merged_ages.get(digest, age))
+    return merged
--- a/packages/common/src/briarthread_common/messages/engine_order.py
+++ b/packages/common/src/briarthread_common/messages/engine_order.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine about its expert map."""
+"""Orders to a model engine that concern its expert map."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -11,13 +11,13 @@
 
 class OrderKind(StrEnum):
     """
-    Name what an engine is told to do.
+    Kind of an order to an engine.
 
-    ``FENCE`` only raises the engine's token. ``STAGE`` loads the weights of
-    a map beside the present one. ``HOLD`` makes the engine stop before a
-    step unless a decision has come. ``SWITCH`` decides for the new map from
-    that step on, ``RESUME`` for the old one. ``LOAD`` gives an engine that
-    has just started its map, and the one it switches to if that is decided.
+    ``FENCE`` only raises the engine's fencing token. ``STAGE`` loads the weights
+    of a map next to the active one. ``HOLD`` makes the engine stop before a
+    step unless a decision has arrived by then. ``SWITCH`` activates the new map from
+    that step on, ``RESUME`` keeps the old one. ``LOAD`` sends an engine that
+    has just started its map and, if a switch is decided, the map it switches to.
     """
 
     FENCE = "fence"
@@ -31,13 +31,13 @@
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
     """
-    Give an engine one order.
+    Order from an agent to its engine.
 
-    ``epoch`` is the agent's start in milliseconds and ``fence`` the planner's
-    number; an engine that checks refuses a pair (epoch, fence) lower than one
-    it has seen. The epoch comes first, because a new agent does not know the
-    planners that its predecessor has seen. ``step`` is where a hold begins, or
-    the switch to ``scheduled`` of an engine that loads its map.
+    ``epoch`` is the agent's start time in milliseconds and ``fence`` the planner's
+    fencing token; an engine that checks them refuses a pair (epoch, fence) lower
+    than one it has seen. The epoch is compared first, because a new agent does not
+    know the planners of its predecessor. ``step`` is the step before which to hold,
+    or in a ``LOAD`` order the step at which to switch to ``scheduled``.
     """
 
     kind: OrderKind
@@ -52,11 +52,11 @@
 @dataclass(frozen=True, slots=True)
 class EngineState:
     """
-    Describe an engine as it stands.
+    State of an engine.
 
     ``step`` is the next step to run. ``hold_for`` is the version for which
-    it holds at ``hold_step``, 0 for none; ``held`` says that it has got
-    there. ``scheduled`` is the version that it was told to switch to.
+    it holds at ``hold_step``, 0 for none; ``held`` is true once it has reached
+    that step. ``scheduled`` is the version that it was ordered to switch to.
     """
 
     step: int
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
-    """Tell whether an order was accepted, and how the engine stands now."""
+    """Answer to an order: whether it was accepted, and the engine's state after it."""
 
     accepted: bool
     state: EngineState
--- a/packages/common/src/briarthread_common/messages/exchange.py
+++ b/packages/common/src/briarthread_common/messages/exchange.py
@@ -1,4 +1,4 @@
-"""What two processes tell each other of their feeds."""
+"""Message in which two processes exchange feed versions and patches."""
 
 from dataclasses import dataclass, field
 
@@ -8,12 +8,12 @@
 @dataclass(frozen=True, slots=True)
 class Exchange:
     """
-    Carry the versions of a process's feeds, and patches for the other side.
+    Versions of a process's feeds, and patches for its peer.
 
-    The asker sends its versions; the answer holds the versions of the other
-    side and a patch for each feed in which the asker lags. ``source_age`` is
-    how many seconds ago the sender last heard from the platform, ``source_well``
-    for how long the platform has answered it without a failure, 0 if it does not.
+    The request holds the sender's versions; the answer holds the peer's versions
+    and a patch for each feed in which the sender is behind. ``source_age`` is how
+    many seconds ago the platform last answered the sender, ``source_well`` for how
+    many seconds it has answered without a failure, 0 if it does not answer.
     """
 
     versions: dict[str, int]
--- a/packages/common/src/briarthread_common/messages/group_report.py
+++ b/packages/common/src/briarthread_common/messages/group_report.py
@@ -1,20 +1,20 @@
-"""What an agent tells the entries of its rank's group."""
+"""Report of an agent to the entries on its rank's group."""
 
 from dataclasses import dataclass, field
 
 GROUP_PATH = "/peer/v1/group"
-"""Where an agent sends its reports."""
+"""Path at which an agent streams its reports."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupReport:
     """
-    Tell how a lock-step group fares, as one agent knows it.
+    State of a lock-step group, as far as one agent knows it.
 
-    ``group`` is the group of the agent's own rank, empty while it is not known.
-    ``serving`` is what that rank says, ``None`` when it says nothing. ``slow``
-    gives the ranks that take clearly longer than usual for their work, by the
-    host of their address, and how many times longer.
+    ``group`` is the group of the agent's own rank, empty while it is unknown.
+    ``serving`` is that rank's report, ``None`` if there is none. ``slow`` maps
+    the host of each rank that takes clearly longer than usual for its work to the
+    factor by which it is slower.
     """
 
     serving: bool | None = None
--- a/packages/common/src/briarthread_common/messages/hello.py
+++ b/packages/common/src/briarthread_common/messages/hello.py
@@ -1,4 +1,4 @@
-"""Who answers at an agent's address."""
+"""Identity of the process that answers at an agent's address."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Say which incarnation of which instance answers at an address."""
+    """Name and incarnation of the instance that answers at an address."""
 
     name: str
     incarnation: str
--- a/packages/common/src/briarthread_common/messages/instance.py
+++ b/packages/common/src/briarthread_common/messages/instance.py
@@ -1,18 +1,18 @@
-"""One row of the platform's instance list."""
+"""Instance in the platform's instance list."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class InstanceRole(StrEnum):
-    """Tell what runs on an instance."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     TARGET = "target"
 
 
 class InstanceState(StrEnum):
-    """Tell what the platform says of an instance."""
+    """State of an instance according to the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -21,11 +21,11 @@
 @dataclass(frozen=True, slots=True)
 class Instance:
     """
-    Describe an instance as the platform lists it, some seconds late.
+    Instance as the platform lists it, with a delay of some seconds.
 
-    ``address`` is where our process on it listens; ``service`` names what a
-    target serves, and ``group`` the lock-step group that it is a rank of, empty
-    for a target without one and while it is not known.
+    ``address`` is where the entry or agent on it listens; ``service`` is the
+    service of a target, and ``group`` the lock-step group of which it is a rank,
+    empty if it has none or while it is unknown.
     """
 
     name: str
--- a/packages/common/src/briarthread_common/messages/load_report.py
+++ b/packages/common/src/briarthread_common/messages/load_report.py
@@ -1,4 +1,4 @@
-"""What an agent says of its load."""
+"""Load report of an agent."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,7 @@
     """
     Return the longest time in seconds between two lines of a stream.
 
-    ``every`` is the shortest one, which the entry asked for.
+    ``every`` is the shortest time, which the entry requested.
     """
     return max(HEARTBEAT_SECONDS, every)
 
@@ -17,13 +17,13 @@
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """
-    Describe an agent's load; short names keep a line small on the wire.
+    Load of an agent; short field names keep a line small on the wire.
 
-    ``i`` is the incarnation, ``r`` the attempts running, ``q`` the attempts
-    queued, ``s`` the slots, ``m`` the mean service time in milliseconds,
-    ``d`` whether the agent drains, ``b`` the remaining backoff of its target in
-    seconds, ``n`` a number that grows with every report of the incarnation, so that a
-    late one is dropped.
+    ``i`` is the incarnation, ``r`` the number of running attempts, ``q`` that of
+    queued attempts, ``s`` the slots, ``m`` the mean service time in milliseconds,
+    ``d`` whether the agent is draining, ``b`` the remaining backoff of its target in
+    seconds, ``n`` a sequence number within the incarnation, by which an outdated
+    report is recognised and dropped.
     """
 
     i: str
--- a/packages/common/src/briarthread_common/messages/map_messages.py
+++ b/packages/common/src/briarthread_common/messages/map_messages.py
@@ -1,4 +1,4 @@
-"""What planners and agents tell each other about expert maps."""
+"""Messages between planners and agents about expert maps."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageMap:
-    """Ask an agent to stage a map on its engine."""
+    """Request that an agent stage a map on its engine."""
 
     group: str
     fence: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceMap:
-    """Announce to one incarnation that a staged map holds from a step on."""
+    """Announce to one incarnation that a staged map becomes active at a step."""
 
     group: str
     incarnation: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmMap:
-    """Tell one incarnation that all agents acknowledged an announcement."""
+    """Confirm to one incarnation that all agents acknowledged an announcement."""
 
     group: str
     incarnation: str
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MapAnswer:
-    """Tell a planner whether the agent went along, and its engine's step."""
+    """Answer to a planner: whether the agent accepted, and its engine's step."""
 
     accepted: bool
     step: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictRequest:
-    """Ask an agent what it knows of a version that holds the asker up."""
+    """Ask an agent what it knows of a version whose decision the sender awaits."""
 
     group: str
     version: int
@@ -61,9 +61,9 @@
 
 class Verdict(StrEnum):
     """
-    Tell what an agent knows of a version.
+    What an agent knows of a version.
 
-    ``REFUSED`` is a promise never to accept its confirmation.
+    ``REFUSED`` is a promise never to accept the version's confirmation.
     """
 
     CONFIRMED = "confirmed"
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VerdictAnswer:
-    """Answer a question about a version."""
+    """Answer to a VerdictRequest."""
 
     verdict: Verdict
 
@@ -81,10 +81,10 @@
 @dataclass(frozen=True, slots=True)
 class Standing:
     """
-    Tell which map an agent's engine is on, and what is to come.
+    Active, scheduled and pending map of an agent's engine.
 
-    ``version`` is 0 while the engine has no map. ``scheduled`` is what it
-    switches to at ``switch_step``, 0 for nothing; ``pending`` is a version
+    ``version`` is 0 while the engine has no map. ``scheduled`` is the version to
+    which it switches at ``switch_step``, 0 for none; ``pending`` is a version
     for which it holds without a decision.
     """
 
--- a/packages/common/src/briarthread_common/messages/map_report.py
+++ b/packages/common/src/briarthread_common/messages/map_report.py
@@ -1,4 +1,4 @@
-"""What a planner learns of a group from one of its agents."""
+"""Report of an agent to the planner on its group."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,10 @@
 @dataclass(frozen=True, slots=True)
 class MapReport:
     """
-    Hold the map that an engine is on and the tokens of each expert.
+    Active map of an engine, and the number of tokens of each expert.
 
-    ``counts[layer][expert]`` are the tokens of the whole group since the
-    group began, which each of its engines knows.
+    ``counts[layer][expert]`` counts the tokens of the whole group since the group
+    started; each engine of the group knows them.
     """
 
     expert_map: ExpertMap
--- a/packages/common/src/briarthread_common/messages/rank_messages.py
+++ b/packages/common/src/briarthread_common/messages/rank_messages.py
@@ -1,4 +1,4 @@
-"""What a planner and the agents of a group say to each other."""
+"""Messages between a planner and the agents of its group."""
 
 from dataclasses import dataclass, field
 
@@ -16,16 +16,16 @@
 REVOKE_PATH = "/peer/v1/rank/revoke"
 RELAY_PATH = "/peer/v1/rank/relay"
 RELAYED_PATHS = (QUERY_PATH, STAGE_PATH, ARM_PATH, REVOKE_PATH)
-"""The calls that go to all ranks of a group, which an agent passes on."""
+"""Calls that go to all ranks of a group and that an agent may relay."""
 MAX_RANK_BODY_BYTES = 4 * 1024 * 1024
-"""Largest message to an agent; a whole map of 129 ranks takes some 30 KB."""
+"""Largest message to an agent; a complete map of 129 ranks takes about 30 KB."""
 NO_FENCE = 0
-"""The number of a question that is no planner's."""
+"""Fencing token of a query that doesn't come from a planner."""
 ANY_GROUP = ""
-"""The name of no group: a message with it is for whatever group a rank is in."""
+"""Empty group name; a message with it applies to whichever group the rank is in."""
 MAX_PLANNER_SILENCE_SECONDS = 3600.0
-"""Seconds that are said of a planner that was never heard, or not for longer;
-JSON has no infinity."""
+"""Upper limit of a reported planner silence, also reported if no planner was ever
+seen; JSON has no infinity."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,10 +33,10 @@
     """
     Ask an agent for its rank's state.
 
-    A planner states its group and its fencing number; from then on the agent
+    A planner states its group and its fencing token; from then on the agent
     obeys no planner of that group with a lower one. An agent whose rank is in
-    another group only gives the rank's state. ``slow`` is what the planner knows
-    of slow ranks, see GroupReport, ``None`` where it says nothing of them.
+    another group only returns the rank's state. ``slow`` is what the planner knows
+    of slow ranks, see GroupReport, ``None`` if it reports nothing on them.
     """
 
     fence: int = NO_FENCE
@@ -49,13 +49,13 @@
 @dataclass(frozen=True, slots=True)
 class RankAnswer:
     """
-    Give a rank's state; ``accepted`` is off for an outdated planner.
+    State of a rank; ``accepted`` is false for an outdated planner.
 
-    ``counts`` tells how often each expert was chosen of late, set by set, in
+    ``counts`` is how often each expert was recently chosen, set by set, in
     units of ``count_unit`` choices;
-    ``experts`` which the rank holds, by set; ``planner_silence`` for how many
-    seconds the agent has heard no planner of the rank's group;
-    ``newest_version`` is the highest version of a map that it was ever sent.
+    ``experts`` lists those that the rank holds, by set; ``planner_silence`` is how
+    many seconds ago the agent last received a call of a planner of the rank's group;
+    ``newest_version`` is the highest map version that it was ever sent.
     """
 
     accepted: bool
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoundRobinMap:
-    """Describe a map that deals the experts of each set out to ranks in turn."""
+    """Map that assigns the experts of each set to the ranks round-robin."""
 
     sets: int
     experts: int
@@ -78,10 +78,10 @@
 
 class RankExperts(msgspec.Struct, frozen=True, array_like=True):
     """
-    The experts that one rank holds of the set with a number.
+    Experts of the set ``number`` that one rank holds.
 
     A change of a large group's map has hundreds of these and goes to every
-    rank, so they are written as arrays, in a third of the bytes.
+    rank, so they are encoded as arrays, which take a third of the bytes.
     """
 
     number: int
@@ -92,13 +92,13 @@
 @dataclass(frozen=True, slots=True)
 class StageRequest:
     """
-    Have a rank load what it lacks for a map.
+    Have a rank load the experts that it lacks for a map.
 
-    The map is that of version ``base`` with some differences, or where the
-    agent lacks that one, the whole of ``layers``: a whole map of a large group
-    would fill the link of the planner's instance. ``dealt`` tells how many
-    experts a set has where the base deals them out to the ranks in turn, so
-    that everyone can work it out.
+    The map is that of version ``base`` with ``differences`` applied or, if the
+    agent lacks that version, the complete ``layers``. Differences are preferred,
+    because complete maps of a large group would saturate the link of the planner's
+    instance. ``dealt`` describes a base that assigns experts to ranks round-robin,
+    which every agent can compute.
     """
 
     fence: int
@@ -114,13 +114,13 @@
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
     """
-    Have an agent stand by the pass that its rank was ordered to hold.
+    Have an agent promise to keep the pass that its rank was ordered to hold.
 
-    Until it has said yes it may let the pass go; once it has, it does so only
-    when all ranks are armed, or when all but the planner's have promised not to be,
-    see RevokeRequest. ``planner`` is where the planner's agent is called, empty
-    where the planner may order engines itself, so that nobody can tell what it
-    has ordered.
+    Until it has accepted, it may release the pass. After that it does so only
+    if all ranks are armed, or if all but the planner's have promised not to be
+    armed, see RevokeRequest. ``planner`` is the address of the planner's agent. It is
+    empty if the planner may order engines itself, since then no agent can know what
+    the planner has ordered.
     """
 
     fence: int
@@ -133,9 +133,9 @@
 @dataclass(frozen=True, slots=True)
 class WithdrawRequest:
     """
-    Have an agent never stand by a pass that its rank was ordered to hold.
+    Have an agent promise never to accept a pass that its rank was ordered to hold.
 
-    It says no where it has promised that already.
+    It refuses if it has already accepted the pass.
     """
 
     fence: int
@@ -147,9 +147,9 @@
 @dataclass(frozen=True, slots=True)
 class RevokeRequest:
     """
-    Have an agent never arm its rank for a pass because a planner asks for it.
+    Have an agent promise never to arm its rank for a pass at a planner's request.
 
-    It says no where it has begun to, or cannot know whether it has.
+    It refuses if it has begun to do so, or can't know whether it has.
     """
 
     epoch: int
@@ -160,10 +160,10 @@
 @dataclass(frozen=True, slots=True)
 class ArmRequest:
     """
-    Have a rank switch to a loaded map as a pass begins.
+    Have a rank switch to a loaded map at the start of a pass.
 
-    ``finishes`` marks one who brings a change to its end that others began: some
-    rank is armed for it, or the pass is promised and is not going to be taken back.
+    ``finishes`` marks a sender that completes a change that another one began: some
+    rank is armed for it, or the pass is promised and will not be withdrawn.
     """
 
     fence: int
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GoRequest:
-    """Have a rank let the group begin a pass that it holds."""
+    """Have a rank release a pass that it holds, so that the group begins it."""
 
     epoch: int
     step: int
@@ -186,9 +186,9 @@
 @dataclass(frozen=True, slots=True)
 class OrderAnswer:
     """
-    Tell whether the engine took an order, and the rank's state after it.
+    Answer to an order: whether the engine accepted it, and the rank's state after it.
 
-    ``lacks_base`` asks for the whole map instead of its differences.
+    ``lacks_base`` requests the complete map instead of its differences.
     """
 
     taken: bool
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayedMessage:
-    """One message, and the addresses of the agents that it is for."""
+    """Message with the addresses of the agents to which it is relayed."""
 
     addresses: list[str]
     message: msgspec.Raw
@@ -207,9 +207,9 @@
 @dataclass(frozen=True, slots=True)
 class RelayRequest:
     """
-    Have an agent call others with a message each and join their answers.
+    Have an agent relay messages to other agents and collect their answers.
 
-    ``seconds`` is how long it may wait for them.
+    ``seconds`` is the time limit for these calls.
     """
 
     path: str
@@ -219,6 +219,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayAnswer:
-    """The answers that came, by the address of the agent that gave them."""
+    """Answers that were received, by the address of the agent that sent them."""
 
     answers: dict[str, msgspec.Raw]
--- a/packages/common/src/briarthread_common/messages/revoke.py
+++ b/packages/common/src/briarthread_common/messages/revoke.py
@@ -1,4 +1,4 @@
-"""Taking an attempt back."""
+"""Messages that revoke an attempt."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -15,7 +15,7 @@
 
 
 class RevokeState(StrEnum):
-    """Tell what became of the attempt."""
+    """State of an attempt after a request to revoke it."""
 
     REVOKED = "revoked"
     RUNNING = "running"
@@ -24,6 +24,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeAnswer:
-    """Answer a revoke; ``REVOKED`` proves that the attempt never runs."""
+    """Answer to a RevokeRequest; ``REVOKED`` proves that the attempt never runs."""
 
     state: RevokeState
--- a/packages/common/src/briarthread_common/messages/running_report.py
+++ b/packages/common/src/briarthread_common/messages/running_report.py
@@ -1,4 +1,4 @@
-"""What an entry tells the others of the attempts that it has running."""
+"""Report of an entry to the others on its running attempts."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -9,25 +9,27 @@
 from briarthread_common.messages.limit_report import LimitReport, newest_limits
 
 RUNNING_PATH = "/peer/v1/running"
-"""Where an entry sends its reports."""
+"""Path at which an entry streams its reports."""
 BLOCK_PATH = "/peer/v1/running-block"
-"""Where a collector sends the sum of its block's reports."""
+"""Path at which a collector streams the sum of its block's reports."""
 OTHERS_PATH = "/peer/v1/running-others"
-"""Where a collector sends an entry, by its name, the sum of all others."""
+"""Path, before an entry's name, at which a collector streams to that entry the sum
+of all other entries' reports."""
 
 
 class RunningReport(msgspec.Struct, frozen=True, omit_defaults=True):
     """
-    Count the attempts running from one entry at each target, by its name.
+    Running attempts of one entry and what it knows of targets.
 
-    It goes out several times a second, so what has nothing to say is left out.
+    It is sent several times a second, so empty fields are omitted.
 
-    Targets without any are left out. ``each`` gives, by the name of each group, the
-    seconds that a running request adds to its passes, as the entry's own streams
-    show it. ``limits`` is what the entry's own answers say of targets' limits,
-    ``crashes`` what is known of requests that crash targets, ``leaving`` the targets
-    that announced their shutdown to the entry, ``backoffs`` the remaining seconds of
-    the backoffs that targets requested from it.
+    ``running`` is the number of attempts by target name, without targets that have
+    none. ``each`` is, by group name, the time in seconds that a running request adds to
+    a pass, as measured on the entry's own streams. ``limits`` are the rate limits that
+    targets stated in responses to the entry, ``crashes`` is what it knows of requests
+    that crash targets, ``leaving`` are the targets that announced their shutdown to the
+    entry, ``backoffs`` the remaining seconds of the backoffs that targets requested
+    from it.
     """
 
     running: dict[str, int] = {}
@@ -38,7 +40,7 @@
     backoffs: dict[str, float] = {}
 
     def same_as(self, other: "RunningReport") -> bool:
-        """Tell whether another report says no more than this one."""
+        """Return whether another report need not be sent after this one."""
         if self.running != other.running or self.limits.keys() != other.limits.keys():
             return False
         if self.leaving != other.leaving:
@@ -46,26 +48,28 @@
         if self.backoffs.keys() != other.backoffs.keys():
             return False
         return self.crashes.same_as(other.crashes) and all(
-            word.per_second == other.limits[target].per_second
-            for target, word in self.limits.items()
+            limit.per_second == other.limits[target].per_second
+            for target, limit in self.limits.items()
         )
 
 
 def merge_reports(reports: Sequence[RunningReport]) -> RunningReport:
     """
-    Return what several entries have running together, and the mean of ``each``.
+    Merge the reports of several entries; ``each`` is averaged.
 
-    >>> both = merge_reports([RunningReport({"t": 1}, {"s": 0.25}), RunningReport({"t": 2})])
+    >>> both = merge_reports(
+    ...     [RunningReport({"t": 1}, {"s": 0.25}), RunningReport({"t": 2})]
+    ... )
     >>> both.running, both.each
     ({'t': 3}, {'s': 0.25})
     """
     running: Counter[str] = Counter()
-    seen: defaultdict[str, list[float]] = defaultdict(list)
+    request_costs: defaultdict[str, list[float]] = defaultdict(list)
     for report in reports:
         running.update(report.running)
         for group, seconds in report.each.items():
-            seen[group].append(seconds)
-    each = {name: sum(values) / len(values) for name, values in seen.items()}
+            request_costs[group].append(seconds)
+    each = {name: sum(costs) / len(costs) for name, costs in request_costs.items()}
     limits = newest_limits(report.limits for report in reports)
     crashes = merge_crash_words(report.crashes for report in reports)
     leaving = merge_names(report.leaving for report in reports)
--- a/packages/common/src/briarthread_common/messages/token_messages.py
+++ b/packages/common/src/briarthread_common/messages/token_messages.py
@@ -1,20 +1,20 @@
-"""What entries say to each other before an attempt at a target with a limit."""
+"""Messages between entries to acquire limit tokens of a rate-limited target."""
 
 from dataclasses import dataclass
 
 from briarthread_common.messages.limit_report import LimitReport
 
 TOKENS_PATH = "/peer/v1/limit-tokens"
-"""Where an entry asks the one that deals a target's limit."""
+"""Path at which the entry that issues a target's limit tokens is asked for one."""
 
 
 @dataclass(frozen=True, slots=True)
 class TokenRequest:
     """
-    Ask for one attempt at a target.
+    Ask for a token for one attempt at a target.
 
-    ``word`` is what the asker knows of the limit; ``wait`` is how many seconds it is
-    ready to wait.
+    ``word`` is what the sender knows of the limit; ``wait`` is how many seconds it
+    may wait.
     """
 
     asker: str
@@ -26,9 +26,9 @@
 @dataclass(frozen=True, slots=True)
 class TokenAnswer:
     """
-    Grant an attempt after ``pause`` seconds, or say after how many to ask again.
+    Grant an attempt after ``pause`` seconds, or ask for a retry after them.
 
-    ``word`` is what the dealer knows of the limit.
+    ``word`` is what the issuer knows of the limit.
     """
 
     granted: bool
--- a/packages/common/src/briarthread_common/platform/feed_store.py
+++ b/packages/common/src/briarthread_common/platform/feed_store.py
@@ -1,4 +1,4 @@
-"""How a feed lies in the platform's table."""
+"""Storage of a feed in the platform's table."""
 
 import msgspec
 
@@ -8,17 +8,17 @@
 from briarthread_common.platform.table_messages import ABSENT, Row, RowCheck, RowWrite
 
 PATCHES_PER_SNAPSHOT = 64
-"""How many patches lie between two whole copies of the feed."""
+"""Number of patches between two snapshots of a feed."""
 MAX_PATCHES = 2 * PATCHES_PER_SNAPSHOT
 
 
 class FeedStore:
     """
-    Keep a feed as a head row, one row a patch and a whole copy now and then.
+    Store a feed as a head row, one row per patch and periodic snapshots.
 
-    Storing the whole at each change would make every change as dear as the
-    text is long; a patch is as long as what changed. The head's
-    compare-and-set makes one order of all changes.
+    If the complete feed was stored at each change, the cost of a change would grow
+    with the size of the services text; a patch has the size of the change. The
+    compare-and-set of the head row puts all changes into one order.
     """
 
     def __init__(self, platform: PlatformClient, feed: str) -> None:
@@ -26,45 +26,45 @@
         self.feed = feed
 
     def head_key(self) -> str:
-        """Return the key of the head row, whose value is the version."""
+        """Return the key of the head row, whose value is the newest version."""
         return f"feeds/{self.feed}/head"
 
     def patch_key(self, number: int) -> str:
-        """Return the key of the patch that leads to a version."""
+        """Return the key of the patch that results in a version."""
         return f"feeds/{self.feed}/patches/{number}"
 
     def snapshot_key(self) -> str:
-        """Return the key of the newest whole copy."""
+        """Return the key of the newest snapshot."""
         return f"feeds/{self.feed}/whole"
 
     async def read_since(self, number: int) -> FeedPatch | None:
-        """Return one patch from a version to the newest, ``None`` if none."""
+        """Return a patch from a version to the newest; ``None`` if none is newer."""
         head = await self._read_one(self.head_key())
         return await self.read_between(number, head_version(head))
 
     async def read_between(self, number: int, newest: int) -> FeedPatch | None:
-        """Return one patch between two versions, ``None`` if none is newer."""
+        """Return a patch between two versions; ``None`` if there is no newer one."""
         if newest <= number:
             return None
         if number != SNAPSHOT_BASE and newest - number <= MAX_PATCHES:
             patch = await self._read_patches(number, newest)
             if patch is not None:
                 return patch
-        return await self._read_whole(newest)
+        return await self._read_snapshot(newest)
 
     async def read_patch(self, number: int) -> FeedPatch | None:
-        """Return the patch that leads to one version, ``None`` if it is gone."""
+        """Return the patch that results in a version; ``None`` if it was removed."""
         row = await self._read_one(self.patch_key(number))
         return _decode(row) if row else None
 
     async def append(
-        self, base: int, changes: dict[str, str | None], whole: dict[str, str]
+        self, base: int, changes: dict[str, str | None], items: dict[str, str]
     ) -> FeedPatch:
         """
-        Add the patch after version ``base``; return it.
+        Append the patch that follows version ``base`` and return it.
 
-        ``whole`` is the feed as the patch leaves it. Raise ConflictError when
-        the head is no longer at ``base``.
+        ``items`` is the feed's content after the patch. Raise ConflictError if
+        the head is not at ``base``.
         """
         head = await self._read_one(self.head_key())
         if head_version(head) != base:
@@ -75,8 +75,8 @@
             RowWrite(self.patch_key(patch.number), _encode(patch)),
         ]
         if base % PATCHES_PER_SNAPSHOT == 0:
-            copy = FeedPatch(self.feed, SNAPSHOT_BASE, patch.number, dict(whole))
-            writes.append(RowWrite(self.snapshot_key(), _encode(copy)))
+            snapshot = FeedPatch(self.feed, SNAPSHOT_BASE, patch.number, dict(items))
+            writes.append(RowWrite(self.snapshot_key(), _encode(snapshot)))
         if patch.number > MAX_PATCHES:
             writes.append(RowWrite(self.patch_key(patch.number - MAX_PATCHES), None))
         check = RowCheck(self.head_key(), head.version if head else ABSENT)
@@ -93,26 +93,26 @@
             changes.update(_decode(rows[key]).changes)
         return FeedPatch(self.feed, number, newest, changes)
 
-    async def _read_whole(self, newest: int) -> FeedPatch:
+    async def _read_snapshot(self, newest: int) -> FeedPatch:
         row = await self._read_one(self.snapshot_key())
         if row is None:
-            raise PlatformError(f"{self.feed} has no whole copy")
-        copy = _decode(row)
-        if copy.number >= newest:
-            return copy
-        rest = await self._read_patches(copy.number, newest)
-        if rest is None:
-            raise PlatformError(f"{self.feed} lacks a patch after {copy.number}")
-        items = {**copy.changes, **rest.changes}
+            raise PlatformError(f"{self.feed} has no snapshot")
+        snapshot = _decode(row)
+        if snapshot.number >= newest:
+            return snapshot
+        patch = await self._read_patches(snapshot.number, newest)
+        if patch is None:
+            raise PlatformError(f"{self.feed} lacks a patch after {snapshot.number}")
+        items = {**snapshot.changes, **patch.changes}
         items = {name: text for name, text in items.items() if text is not None}
-        return FeedPatch(self.feed, SNAPSHOT_BASE, rest.number, items)
+        return FeedPatch(self.feed, SNAPSHOT_BASE, patch.number, items)
 
     async def _read_one(self, key: str) -> Row | None:
         return (await self.platform.read([key])).get(key)
 
 
 def head_version(head: Row | None) -> int:
-    """Return the version that a head row states, 0 where there is none."""
+    """Return the version in a head row, 0 if the row doesn't exist."""
     return int(head.value) if head else 0
 
 
--- a/packages/common/src/briarthread_common/platform/lease.py
+++ b/packages/common/src/briarthread_common/platform/lease.py
@@ -1,4 +1,4 @@
-"""A lease on a duty, kept as one row of the platform's table."""
+"""Lease on a role, stored as a row of the platform's table."""
 
 from dataclasses import dataclass
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRow:
-    """Name the holder of a duty and the Unix time until which it holds it."""
+    """Holder of a role and the Unix time at which its lease expires."""
 
     holder: str
     expires: float
@@ -20,24 +20,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """The lease is held under this fencing number, which only grows."""
+    """The lease was acquired with this fencing token, which increases each time."""
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseHeldByOther:
-    """Another one holds the lease."""
+    """Another process holds the lease."""
 
     holder: str
 
 
 class Lease:
     """
-    Take a duty by compare-and-set; the row's version is the fencing number.
+    Acquire a role by compare-and-set; the row's version is the fencing token.
 
-    A holder that was paused does not know that its lease has lapsed. So the
-    lease alone protects nothing: whoever obeys the holder checks the number.
+    A holder that was paused doesn't know that its lease has expired. The lease
+    alone therefore gives no mutual exclusion; a process that takes orders from the
+    holder must check the fencing token.
     """
 
     def __init__(
@@ -50,23 +51,23 @@
 
     async def acquire(self, holder: str) -> LeaseAcquired | LeaseHeldByOther:
         """
-        Take or prolong the lease.
+        Acquire or renew the lease.
 
-        Raise PlatformError when the platform does not answer; the lease may
-        then be held all the same, under a number that nobody uses.
+        Raise PlatformError if the platform doesn't answer; the lease may
+        then still be held, with a fencing token that no process uses.
         """
         row = (await self.platform.read([self.key])).get(self.key)
         if row is not None:
-            present = msgspec.json.decode(row.value, type=LeaseRow)
-            if present.holder != holder and present.expires > self.clock.now():
-                return LeaseHeldByOther(present.holder)
+            current = msgspec.json.decode(row.value, type=LeaseRow)
+            if current.holder != holder and current.expires > self.clock.now():
+                return LeaseHeldByOther(current.holder)
         version = row.version if row else ABSENT
-        wanted = LeaseRow(holder, self.clock.now() + self.seconds)
-        value = msgspec.json.encode(wanted).decode()
+        renewed = LeaseRow(holder, self.clock.now() + self.seconds)
+        value = msgspec.json.encode(renewed).decode()
         try:
             await self.platform.write(
                 [RowCheck(self.key, version)], [RowWrite(self.key, value)]
             )
         except ConflictError:
-            return LeaseHeldByOther("another that was faster")
+            return LeaseHeldByOther("a concurrent process")
         return LeaseAcquired(version + 1)
--- a/packages/common/src/briarthread_common/platform/platform_client.py
+++ b/packages/common/src/briarthread_common/platform/platform_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's table and instance list."""
+"""Client of the platform's table and instance list."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -28,8 +28,8 @@
     """
     Read and write the platform's table and read its instance list.
 
-    Every call raises PlatformError when no address answers in time; a
-    write may then have taken effect all the same.
+    ``timeout`` is in seconds. Each call raises PlatformError if no address
+    answers in time; a write may have taken effect nevertheless.
     """
 
     def __init__(
@@ -40,14 +40,14 @@
         self.timeout = timeout
 
     async def read(self, keys: Sequence[str]) -> dict[str, Row]:
-        """Return the rows that exist among the keys, by key."""
+        """Return the existing rows of the given keys, by key."""
         answer = await self._call("/v1/table/read", list(keys), ReadAnswer)
         return {row.key: row for row in answer.rows}
 
     async def write(
         self, checks: Sequence[RowCheck], writes: Sequence[RowWrite]
     ) -> None:
-        """Commit a transaction; raise ConflictError if a check does not hold."""
+        """Commit a transaction; raise ConflictError if a check fails."""
         transaction = Transaction(list(checks), list(writes))
         answer = await self._call(
             "/v1/table/transactions", transaction, TransactionAnswer
@@ -56,11 +56,11 @@
             raise ConflictError(", ".join(answer.conflicts))
 
     async def instances_since(self, number: int) -> FeedPatch | None:
-        """Return the change of the instance list since a version of it."""
+        """Return the patch of the instance list since a version of it."""
         return await self._call("/v1/instances/since", number, FeedPatch | None)
 
     async def _call(self, path: str, message: object, answer_type: type[T]) -> T:
-        last: ChannelError | None = None
+        last_error: ChannelError | None = None
         for address in self.addresses:
             try:
                 return await call_json(
@@ -73,7 +73,7 @@
                     self.timeout,
                 )
             except RequestNotSentError as error:
-                last = error
+                last_error = error
             except ChannelError as error:
                 raise PlatformError(f"platform: {error}") from error
-        raise PlatformError(f"platform: {last}")
+        raise PlatformError(f"platform: {last_error}")
--- a/packages/common/src/briarthread_common/platform/table_messages.py
+++ b/packages/common/src/briarthread_common/platform/table_messages.py
@@ -1,14 +1,14 @@
-"""The messages of the platform's table."""
+"""Messages of the platform's table."""
 
 from dataclasses import dataclass, field
 
 ABSENT = 0
-"""The version of a row that does not exist."""
+"""Version of a row that doesn't exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """Hold a row: its value and the version that each write raises."""
+    """Row of the table; each write increments its version."""
 
     key: str
     value: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowCheck:
-    """Demand that a row is at a version when the transaction commits."""
+    """Condition that a row is at a version when the transaction commits."""
 
     key: str
     version: int
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowWrite:
-    """Set a row; a value of ``None`` removes it."""
+    """Write of a row; a value of ``None`` removes it."""
 
     key: str
     value: str | None
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Write all rows if all checks hold, else none."""
+    """Writes that are applied only if all checks hold."""
 
     checks: list[RowCheck] = field(default_factory=list)
     writes: list[RowWrite] = field(default_factory=list)
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TransactionAnswer:
-    """Tell whether a transaction took effect, and which rows stood in the way."""
+    """Whether a transaction was committed, and the keys whose checks failed."""
 
     committed: bool
     conflicts: list[str] = field(default_factory=list)
@@ -49,6 +49,6 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadAnswer:
-    """Hold the rows that were found."""
+    """Rows that were found."""
 
     rows: list[Row] = field(default_factory=list)
--- a/packages/common/src/briarthread_common/text/__init__.py
+++ b/packages/common/src/briarthread_common/text/__init__.py
@@ -1,1 +1,1 @@
-"""The services text: sections, parsing, checks."""
+"""The services text, an operator's configuration of services and accounts."""
--- a/packages/common/src/briarthread_common/text/account.py
+++ b/packages/common/src/briarthread_common/text/account.py
@@ -1,4 +1,4 @@
-"""One client account of the text."""
+"""Client account in a services text."""
 
 from dataclasses import dataclass
 
@@ -8,9 +8,9 @@
     """
     Describe a client account.
 
-    ``rate`` is in requests a second and ``concurrency`` in requests at one
-    time, both over the whole data centre; ``weight`` is its part of a busy
-    target. An empty ``services`` allows all.
+    ``rate`` is in requests per second and ``concurrency`` in concurrent requests,
+    both for the whole data centre; ``weight`` is the account's relative share of a
+    busy target. An empty ``services`` allows all services.
     """
 
     name: str
@@ -23,5 +23,5 @@
     services: tuple[str, ...]
 
     def may_call(self, service: str) -> bool:
-        """Tell whether the account may call a service."""
+        """Return whether the account may call a service."""
         return not self.services or service in self.services
--- a/packages/common/src/briarthread_common/text/build_text.py
+++ b/packages/common/src/briarthread_common/text/build_text.py
@@ -1,4 +1,4 @@
-"""Building of a typed text from its sections."""
+"""Construction of a typed services text from its sections."""
 
 from collections.abc import Mapping
 from dataclasses import replace
@@ -18,9 +18,9 @@
 
 def build_text(number: int, sections: Mapping[str, str]) -> ServicesText:
     """
-    Return the typed text, or raise ChecksFailed with every fault in it.
+    Return the typed text; raise ChecksFailed with all faults if it has any.
 
-    ``sections`` maps headers to sections as written.
+    ``sections`` maps headers to the sections' raw text.
     """
     text = ServicesText(number=number)
     faults: list[CheckMessage] = []
@@ -40,8 +40,8 @@
                 text.groups[group.name] = group
             case DataCentre() as data_centre:
                 text.data_centres[data_centre.name] = data_centre
-            case Objective() as found:
-                objective = found
+            case Objective() as parsed_objective:
+                objective = parsed_objective
     faults.extend(check_text(text))
     if faults:
         raise ChecksFailed(faults)
--- a/packages/common/src/briarthread_common/text/check_text.py
+++ b/packages/common/src/briarthread_common/text/check_text.py
@@ -1,4 +1,4 @@
-"""Checks of a services text across its sections."""
+"""Checks of a services text that involve several sections."""
 
 from collections.abc import Iterable, Iterator
 
@@ -7,7 +7,7 @@
 
 
 def check_text(text: ServicesText) -> list[CheckMessage]:
-    """Return every fault that no single section shows."""
+    """Return the faults that involve several options or sections."""
     return [
         *_check_services(text),
         *_check_accounts(text),
@@ -19,16 +19,16 @@
 
 def check_change(old: ServicesText, new: ServicesText) -> list[CheckMessage]:
     """
-    Return the faults of a change, each of which would lose keys in memory.
+    Return the faults of a change, each of which would lose stored keys.
 
-    The place that remembers an idempotency key follows from the account's
-    home, the service's data centres and its number of shares. Moving it in
-    one step would let a key run twice, so such a change is refused.
+    The account's home, the service's data centres and its number of shares
+    determine where an idempotency key is stored. If a change moved the key in one
+    step, its request could run twice, so such a change is rejected.
     """
     faults: list[CheckMessage] = []
     for name in old.services.keys() & new.services.keys():
         if old.services[name].shares != new.services[name].shares:
-            faults.append(_moved(f"[service {name}] shares"))
+            faults.append(_keys_moved(f"[service {name}] shares"))
     for name in old.accounts.keys() & new.accounts.keys():
         faults.extend(_check_home_change(name, old, new))
     return faults
@@ -45,15 +45,15 @@
         if old.key_home(before, old.services[service_name]) != new.key_home(
             after, service
         ):
-            yield _moved(f"[account {name}] home for {service_name}")
+            yield _keys_moved(f"[account {name}] home for {service_name}")
 
 
-def _moved(place: str) -> CheckMessage:
+def _keys_moved(place: str) -> CheckMessage:
     return CheckMessage(
         "text.E015",
         place,
-        "would move idempotency keys away from where they are remembered",
-        "Remove the section, wait for the longest retry horizon, add it anew.",
+        "would change where idempotency keys are stored",
+        "Remove the section, wait for the longest retry horizon, then add it again.",
     )
 
 
@@ -89,14 +89,14 @@
         )
         if group.ranks * group.slots < group.experts:
             yield CheckMessage(
-                "text.E016", f"{place} slots", "leave no room for every expert"
+                "text.E016", f"{place} slots", "are too few for all experts"
             )
         for target in group.targets:
             if owners.setdefault(target, group.name) != group.name:
                 yield CheckMessage(
                     "text.E017",
                     f"{place} targets",
-                    f"has {target}, which is in group {owners[target]} too",
+                    f"lists {target}, which group {owners[target]} lists as well",
                 )
 
 
@@ -116,16 +116,16 @@
 
 def _check_cycles(text: ServicesText) -> Iterator[CheckMessage]:
     for name in text.services:
-        path = _path_back(text, name)
+        path = _find_cycle(text, name)
         if path and name == min(path):
             yield CheckMessage(
                 "text.E013",
                 f"[service {name}] depends_on",
-                f"goes round: {' -> '.join([*path, name])}",
+                f"has a cycle: {' -> '.join([*path, name])}",
             )
 
 
-def _path_back(text: ServicesText, start: str) -> list[str]:
+def _find_cycle(text: ServicesText, start: str) -> list[str]:
     paths = [[start]]
     seen: set[str] = set()
     while paths:
@@ -144,7 +144,7 @@
 ) -> Iterator[CheckMessage]:
     for name in names:
         if name not in known:
-            listed = ", ".join(sorted(known)) or "none"
+            known_names = ", ".join(sorted(known)) or "none"
             yield CheckMessage(
-                "text.E014", place, f"names unknown {name!r}", f"Known: {listed}."
+                "text.E014", place, f"names unknown {name!r}", f"Known: {known_names}."
             )
--- a/packages/common/src/briarthread_common/text/data_centre.py
+++ b/packages/common/src/briarthread_common/text/data_centre.py
@@ -1,11 +1,11 @@
-"""One data centre of the text."""
+"""Data centre in a services text."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class DataCentre:
-    """Describe a data centre; ``region`` groups those that are near."""
+    """Describe a data centre; ``region`` groups nearby data centres."""
 
     name: str
     region: str
--- a/packages/common/src/briarthread_common/text/group.py
+++ b/packages/common/src/briarthread_common/text/group.py
@@ -1,4 +1,4 @@
-"""One lock-step group of the text."""
+"""Lock-step group in a services text."""
 
 from dataclasses import dataclass
 
@@ -6,10 +6,10 @@
 @dataclass(frozen=True, slots=True)
 class Group:
     """
-    Describe a group of targets that step together on one expert map.
+    Describe a group of targets that run in lock-step with one expert map.
 
     ``targets`` lists its instances; each has ``ranks_each`` ranks, and each
-    rank has room for ``slots`` experts a layer.
+    rank has ``slots`` expert slots per layer.
     """
 
     name: str
@@ -24,5 +24,5 @@
 
     @property
     def ranks(self) -> int:
-        """Return the number of ranks."""
+        """Return the number of ranks of all targets."""
         return len(self.targets) * self.ranks_each
--- a/packages/common/src/briarthread_common/text/parse_section.py
+++ b/packages/common/src/briarthread_common/text/parse_section.py
@@ -1,4 +1,4 @@
-"""Parsing of one section of a services text."""
+"""Parsing of a section of a services text."""
 
 import configparser
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 from briarthread_common.text.service import Service, TargetKind
 
 CACHED_SECTIONS = 16384
-"""A change parses only the sections that it touches; the rest come from here."""
+"""Number of cached sections; unchanged sections are not parsed again."""
 
 Parsed = Service | Account | Group | DataCentre | Objective
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedSection:
-    """Hold what a section says, or ``None``, and the faults found in it."""
+    """Hold a section's value, or ``None`` if it is invalid, and its faults."""
 
     value: Parsed | None
     faults: tuple[CheckMessage, ...]
@@ -30,16 +30,18 @@
 
 @lru_cache(maxsize=CACHED_SECTIONS)
 def parse_section(header: str, raw: str) -> ParsedSection:
-    """Return the typed value of one section with all its faults."""
+    """Return the typed value of a section and its faults."""
     kind, _, name = header.partition(" ")
     spec = TEXT_SPECS.get(kind)
     if spec is None:
-        return _fault("text.E002", header, f"{kind!r} is no kind of section")
+        return _fault("text.E002", header, f"{kind!r} is not a kind of section")
     if kind in UNNAMED_SECTIONS:
         if name:
-            return _fault("text.E003", header, "takes no name")
+            return _fault("text.E003", header, "must not have a name")
     elif not is_name(name):
-        return _fault("text.E004", header, f"{name!r} is no name", "Use a-z, 0-9, - .")
+        return _fault(
+            "text.E004", header, f"{name!r} is not a valid name", "Use a-z, 0-9, - ."
+        )
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(raw)
--- a/packages/common/src/briarthread_common/text/section_specs.py
+++ b/packages/common/src/briarthread_common/text/section_specs.py
@@ -1,4 +1,4 @@
-"""The sections that a services text may hold."""
+"""Specifications of the sections of a services text."""
 
 from briarthread_common.conf.option import Option
 from briarthread_common.conf.option_kind import OptionKind
@@ -12,16 +12,18 @@
             "kind",
             OptionKind.TEXT,
             "plain",
-            "What its targets are.",
+            "Kind of its targets.",
             choices=("engine", "plain"),
         ),
-        Option("data_centres", OptionKind.NAMES, None, "Where it has targets."),
-        Option("depends_on", OptionKind.NAMES, "", "Services that it calls in turn."),
+        Option(
+            "data_centres", OptionKind.NAMES, None, "Data centres with its targets."
+        ),
+        Option("depends_on", OptionKind.NAMES, "", "Services that it calls."),
         Option(
             "idempotent",
             OptionKind.FLAG,
             "no",
-            "Whether its calls may be repeated; GET always may.",
+            "Whether its calls may be retried; GET always may.",
         ),
         Option(
             "deadline", OptionKind.SECONDS, "10", "Deadline of a call without one, s."
@@ -33,23 +35,25 @@
             "patience",
             OptionKind.SECONDS,
             "2",
-            "Silence after which an attempt is asked about, s.",
+            "Time without a response after which an attempt's state is queried, s.",
         ),
         Option(
             "retry_horizon",
             OptionKind.SECONDS,
             "120",
-            "How long an answer is kept for its key, s.",
+            "Time for which a response is stored for its key, s.",
         ),
         Option(
             "shares",
             OptionKind.INTEGER,
             "12",
-            "Shares of its keys in each data centre; fixed once set.",
+            "Shares of its keys in each data centre; cannot be changed.",
             minimum=1,
         ),
-        Option("slots", OptionKind.INTEGER, "8", "Calls a target runs at a time.", 1),
-        Option("queue", OptionKind.INTEGER, "64", "Calls that may wait there.", 0),
+        Option("slots", OptionKind.INTEGER, "8", "Concurrent calls of a target.", 1),
+        Option(
+            "queue", OptionKind.INTEGER, "64", "Calls that may wait at a target.", 0
+        ),
         Option("body_bytes", OptionKind.INTEGER, "1048576", "Largest body, bytes.", 0),
         Option(
             "answer_bytes", OptionKind.INTEGER, "4194304", "Largest answer, bytes.", 0
@@ -73,13 +77,25 @@
             None,
             "Data centre that keeps its idempotency keys.",
         ),
-        Option("weight", OptionKind.NUMBER, "1", "Its part of a busy target.", 0.01),
         Option(
-            "rate", OptionKind.NUMBER, "100", "Calls a second in a data centre.", 0.01
+            "weight", OptionKind.NUMBER, "1", "Relative share of a busy target.", 0.01
+        ),
+        Option(
+            "rate", OptionKind.NUMBER, "100", "Calls per second in a data centre.", 0.01
+        ),
+        Option(
+            "concurrency",
+            OptionKind.INTEGER,
+            "64",
+            "Concurrent calls in a data centre.",
+            1,
         ),
-        Option("concurrency", OptionKind.INTEGER, "64", "Calls in flight there.", 1),
         Option(
-            "priority", OptionKind.INTEGER, "0", "Higher goes first at a target.", 0
+            "priority",
+            OptionKind.INTEGER,
+            "0",
+            "Priority at a target; higher is served first.",
+            0,
         ),
         Option("services", OptionKind.NAMES, "", "Services it may call; empty: all."),
     ),
@@ -87,15 +103,17 @@
 
 GROUP = SectionSpec(
     "group",
-    "Targets of a service that step together on one expert map.",
+    "Targets of a service that run in lock-step with one expert map.",
     (
         Option("service", OptionKind.TEXT, None, "Service that they serve."),
-        Option("data_centre", OptionKind.TEXT, None, "Where they are."),
+        Option("data_centre", OptionKind.TEXT, None, "Data centre of the targets."),
         Option("targets", OptionKind.NAMES, None, "Their instances, in rank order."),
         Option("ranks_each", OptionKind.INTEGER, "1", "Ranks of each target.", 1),
         Option("layers", OptionKind.INTEGER, "1", "Layers with experts.", 1),
         Option("experts", OptionKind.INTEGER, "256", "Experts of a layer.", 1),
-        Option("slots", OptionKind.INTEGER, "9", "Experts a rank holds a layer.", 1),
+        Option(
+            "slots", OptionKind.INTEGER, "9", "Expert slots of a rank per layer.", 1
+        ),
         Option(
             "expert_bytes",
             OptionKind.INTEGER,
@@ -108,13 +126,13 @@
 
 DATA_CENTRE = SectionSpec(
     "data_centre",
-    "A data centre with entries and targets of its own.",
-    (Option("region", OptionKind.TEXT, "default", "Region it lies in."),),
+    "A data centre with its own entries and targets.",
+    (Option("region", OptionKind.TEXT, "default", "Region of the data centre."),),
 )
 
 OBJECTIVE = SectionSpec(
     "objective",
-    "What is weighed when experts are placed.",
+    "Weights of the objective of expert placement.",
     (
         Option("skew_weight", OptionKind.NUMBER, "1", "Weight of step-time skew.", 0),
         Option(
--- a/packages/common/src/briarthread_common/text/service.py
+++ b/packages/common/src/briarthread_common/text/service.py
@@ -1,11 +1,11 @@
-"""One service of the text."""
+"""Service in a services text."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class TargetKind(StrEnum):
-    """Tell what kind of target serves a service."""
+    """Kind of the targets that serve a service."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -14,7 +14,7 @@
 @dataclass(frozen=True, slots=True)
 class Service:
     """
-    Describe a service; see the reference of the text for each option.
+    Describe a service; see the reference of the services text for each option.
 
     Times are in seconds, sizes in bytes.
     """
--- a/packages/common/src/briarthread_common/text/services_text.py
+++ b/packages/common/src/briarthread_common/text/services_text.py
@@ -1,4 +1,4 @@
-"""A services text in force."""
+"""Typed services text."""
 
 from dataclasses import dataclass, field
 
@@ -12,10 +12,10 @@
 @dataclass(frozen=True, slots=True)
 class ServicesText:
     """
-    Hold a text's services, accounts, groups and data centres by name.
+    Hold the services, accounts, groups and data centres of a text by name.
 
     ``number`` is its version; 0 means that no text is known yet.
-    ``accounts_by_key`` finds an account by the digest of one of its keys.
+    ``accounts_by_key`` maps the digest of each key to its account.
     """
 
     number: int = 0
@@ -27,15 +27,15 @@
     accounts_by_key: dict[str, Account] = field(default_factory=dict)
 
     def group_of(self, target: str) -> Group | None:
-        """Return the group that a target belongs to, ``None`` if to none."""
+        """Return the group to which a target belongs, ``None`` if it has none."""
         return next((g for g in self.groups.values() if target in g.targets), None)
 
     def key_home(self, account: Account, service: Service) -> str:
         """
-        Return the data centre that keeps an account's keys for a service.
+        Return the data centre that stores an account's keys for a service.
 
-        It is the account's home, or where the service has no targets there,
-        the first data centre of the service in name order.
+        It is the account's home or, if the service has no targets there,
+        the first data centre of the service by name.
         """
         if account.home in service.data_centres:
             return account.home
--- a/packages/common/src/briarthread_common/text/split_text.py
+++ b/packages/common/src/briarthread_common/text/split_text.py
@@ -1,4 +1,4 @@
-"""Splitting of a services text into its sections."""
+"""Splitting of a services text into sections."""
 
 import re
 
@@ -11,11 +11,11 @@
 
 def split_text(text: str) -> dict[str, str]:
     r"""
-    Return the sections of a text by their header, each as it was written.
+    Return the raw sections of a text by header.
 
-    Sections travel and are stored one by one, so that a change costs as
-    much as it changes. What stands before the first header is kept under
-    the empty name. Raise ChecksFailed when a header stands twice.
+    Sections are sent and stored separately, so that the cost of a change is
+    proportional to its size. Lines before the first header are kept under
+    the empty name. Raise ChecksFailed if a header occurs twice.
 
     >>> split_text("# ours\n[service a]\nkind = plain\n")
     {'': '# ours\n', 'service a': '[service a]\nkind = plain\n'}
@@ -30,7 +30,7 @@
             if name in sections:
                 faults.append(
                     CheckMessage(
-                        "text.E001", f"line {number}", f"[{name}] stands twice"
+                        "text.E001", f"line {number}", f"[{name}] occurs twice"
                     )
                 )
         sections.setdefault(name, []).append(line)
@@ -40,13 +40,13 @@
 
 
 def join_text(sections: dict[str, str]) -> str:
-    """Return the whole text, sections in order of kind and name."""
+    """Return the complete text, with sections sorted by kind and name."""
     return "".join(sections[name] for name in sorted(sections))
 
 
 def changed_sections(old: dict[str, str], new: dict[str, str]) -> dict[str, str | None]:
     """
-    Return the sections that differ, ``None`` for those removed.
+    Return the sections that differ; removed ones are ``None``.
 
     >>> changed_sections({"a": "1", "b": "2"}, {"a": "1", "c": "3"})
     {'c': '3', 'b': None}
--- a/packages/common/src/briarthread_common/text/text_store.py
+++ b/packages/common/src/briarthread_common/text/text_store.py
@@ -1,4 +1,4 @@
-"""Accepting a services text."""
+"""Storage of accepted services texts."""
 
 import secrets
 from collections.abc import Mapping
@@ -18,13 +18,13 @@
 from briarthread_common.text.split_text import changed_sections
 
 META = "@meta"
-"""The item of the feed that says who applied the version."""
+"""Item of the feed that holds a version's Meta."""
 TRY_ID_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Meta:
-    """Say who applied a version, when (Unix seconds), and in which try."""
+    """Author of a version, its Unix time in seconds, and the id of the write."""
 
     by: str
     at: float
@@ -33,21 +33,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The text is accepted under this version."""
+    """The text was accepted as this version."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The version in force says the same; nothing was written."""
+    """The current version has the same content; nothing was written."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another version was accepted; nothing of this text is in force."""
+    """Another version was accepted; this text was discarded."""
 
     number: int
     by: str
@@ -58,12 +58,12 @@
 
 
 def without_meta(sections: Mapping[str, str]) -> dict[str, str]:
-    """Return the sections that an operator wrote."""
+    """Return the operator's sections, without the feed's own META item."""
     return {name: raw for name, raw in sections.items() if name != META}
 
 
 class TextStore:
-    """Accept texts by compare-and-set of the feed in the platform's table."""
+    """Store accepted texts by compare-and-set of the feed in the platform's table."""
 
     def __init__(self, store: FeedStore) -> None:
         self.store = store
@@ -72,28 +72,28 @@
         self, base: int, sections: Mapping[str, str], by: str, now: float
     ) -> ApplyResult:
         """
-        Put sections in force after version ``base``.
+        Store sections as the version that follows ``base``.
 
-        Raise ChecksFailed when the text has faults, PlatformError when
-        whether it was accepted cannot be found out.
+        Raise ChecksFailed if the text has faults, PlatformError if it cannot be
+        determined whether the text was accepted.
         """
         new = build_text(base + 1, sections)
         current, items = await self._read()
         if current != base:
-            return _lost(current, items)
+            return _superseded(current, items)
         changes = changed_sections(without_meta(items), dict(sections))
         if not changes and current:
             return Unchanged(current)
         self._check_change(base, items, new)
         meta = Meta(by, now, secrets.token_hex(TRY_ID_BYTES))
         changes[META] = msgspec.json.encode(meta).decode()
-        whole = {**sections, META: changes[META]}
+        new_items = {**sections, META: changes[META]}
         try:
-            patch = await self.store.append(base, changes, whole)
+            patch = await self.store.append(base, changes, new_items)
         except ConflictError:
-            return _lost(*await self._read())
+            return _superseded(*await self._read())
         except PlatformError:
-            return await self._settle(base, meta)
+            return await self._resolve_unknown_write(base, meta)
         return Accepted(patch.number)
 
     def _check_change(
@@ -105,16 +105,16 @@
         if faults:
             raise ChecksFailed(faults)
 
-    async def _settle(self, base: int, meta: Meta) -> ApplyResult:
-        """Find out by the try's id whether a write without answer took effect."""
+    async def _resolve_unknown_write(self, base: int, meta: Meta) -> ApplyResult:
+        """Determine by ``try_id`` whether an unanswered write took effect."""
         patch = await self.store.read_since(base)
         if patch is None:
-            raise PlatformError("the write was lost; nothing was accepted")
+            raise PlatformError("the write did not take effect; nothing was accepted")
         number, items = await self._read()
         raw = await self.store.read_patch(base + 1)
         if raw is not None and _meta(raw.changes).try_id == meta.try_id:
             return Accepted(base + 1)
-        return _lost(number, items)
+        return _superseded(number, items)
 
     async def _read(self) -> tuple[int, dict[str, str]]:
         patch = await self.store.read_since(0)
@@ -123,7 +123,7 @@
         return patch.number, {k: v for k, v in patch.changes.items() if v is not None}
 
 
-def _lost(number: int, items: dict[str, str]) -> Superseded:
+def _superseded(number: int, items: dict[str, str]) -> Superseded:
     return Superseded(number, _meta(items).by, without_meta(items))
 
 
--- a/packages/common/src/briarthread_common/text/text_view.py
+++ b/packages/common/src/briarthread_common/text/text_view.py
@@ -1,4 +1,4 @@
-"""The text in force in one process."""
+"""View of the services text that a process uses."""
 
 from loguru import logger
 
@@ -10,22 +10,22 @@
 
 class TextView:
     """
-    Give the typed text of a feed, built anew when the feed has moved.
+    Provide the typed text of a feed and rebuild it when the feed has changed.
 
-    A text that cannot be built, as one from a newer release may be, leaves
-    the last good one in force and is reported in ``fault``.
+    If a text cannot be built, for example because it was written for a newer
+    release, the last valid one stays in use and ``fault`` describes the error.
     """
 
     def __init__(self, feed: Feed) -> None:
         self.feed = feed
         self.text = ServicesText()
         self.fault = ""
-        self.tried = 0
+        self.attempted_number = 0
 
     def current(self) -> ServicesText:
-        """Return the newest text that can be built."""
-        if self.tried != self.feed.number:
-            self.tried = self.feed.number
+        """Return the newest valid text."""
+        if self.attempted_number != self.feed.number:
+            self.attempted_number = self.feed.number
             self._build()
         return self.text
 
@@ -35,4 +35,4 @@
             self.fault = ""
         except ChecksFailed as error:
             self.fault = str(error)
-            logger.error("text: version {} cannot be used", self.feed.number)
+            logger.error("text: version {} is invalid", self.feed.number)
--- a/packages/common/src/briarthread_common/utils/__init__.py
+++ b/packages/common/src/briarthread_common/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without state of their own."""
+"""Small helpers."""
--- a/packages/common/src/briarthread_common/utils/backoff.py
+++ b/packages/common/src/briarthread_common/utils/backoff.py
@@ -1,4 +1,4 @@
-"""The backoff of one target and the slow start after it."""
+"""Backoff of a target and the slow start after it."""
 
 from dataclasses import dataclass
 
--- a/packages/common/src/briarthread_common/utils/clock.py
+++ b/packages/common/src/briarthread_common/utils/clock.py
@@ -1,4 +1,4 @@
-"""Unix time that follows the clock of the runtime."""
+"""Unix time derived from the event loop's clock."""
 
 import time
 from dataclasses import dataclass
@@ -9,18 +9,18 @@
 @dataclass(frozen=True)
 class Clock:
     """
-    Give Unix time in seconds, derived from the clock of the runtime.
+    Return Unix time in seconds, derived from the event loop's clock.
 
-    Deadlines travel between machines as Unix time. Reading it through the
-    runtime's clock lets a test pause and advance it; ``offset`` is the
-    difference between the two, in seconds, taken once at start.
+    Deadlines are sent between machines as Unix time. Since it is derived from the
+    event loop's clock, tests can pause and advance it. ``offset`` is the
+    difference between the two in seconds, measured once at start.
     """
 
     offset: float = 0.0
 
     @classmethod
     def from_system(cls) -> "Clock":
-        """Build a clock that agrees with the system's time of day now."""
+        """Return a clock that is synchronised with the system clock now."""
         return cls(offset=time.time() - anyio.current_time())
 
     def now(self) -> float:
--- a/packages/common/src/briarthread_common/utils/decaying_mean.py
+++ b/packages/common/src/briarthread_common/utils/decaying_mean.py
@@ -1,4 +1,4 @@
-"""An exponentially weighted mean."""
+"""Exponentially weighted moving average."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 @dataclass(slots=True)
 class DecayingMean:
     """
-    Keep a mean in which each new sample has the same weight.
+    Exponentially weighted moving average; ``weight`` is that of a new sample.
 
     >>> mean = DecayingMean(weight=0.5)
     >>> mean.add(4.0)
@@ -20,7 +20,7 @@
     samples: int = 0
 
     def add(self, sample: float) -> None:
-        """Take one sample in; the first one sets the mean."""
+        """Add a sample; the first one sets the value."""
         if self.samples == 0:
             self.value = sample
         else:
--- a/packages/common/src/briarthread_common/utils/hashing.py
+++ b/packages/common/src/briarthread_common/utils/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes, the same in every process."""
+"""Hashes that are the same in every process, and random ids."""
 
 import hashlib
 import random
@@ -10,7 +10,7 @@
 
 def stable_hash(*parts: str) -> int:
     """
-    Return a 64-bit hash of the parts, the same in every process.
+    Return a 64-bit hash of the parts that is the same in every process.
 
     >>> stable_hash("a", "bc") == stable_hash("ab", "c")
     False
@@ -22,10 +22,10 @@
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """
-    Return the names in order of their rendezvous hash with the key.
+    Return the names sorted by their rendezvous hash with the key.
 
-    Every process that knows the same names gets the same order, and taking
-    a name away moves no other name.
+    Every process that knows the same names gets the same order, and removing
+    a name doesn't change the order of the others.
 
     >>> order = rendezvous_order("key", ["a", "b", "c"])
     >>> rest = [name for name in order if name != "b"]
@@ -41,5 +41,5 @@
 
 
 def key_digest(secret: str) -> str:
-    """Return the SHA-256 digest in hex under which the text keeps a key."""
+    """Return a key's SHA-256 digest in hex, as stored in the services text."""
     return hashlib.sha256(secret.encode()).hexdigest()
--- a/packages/common/src/briarthread_common/utils/host_of.py
+++ b/packages/common/src/briarthread_common/utils/host_of.py
@@ -1,15 +1,15 @@
-"""Addresses as IP:PORT."""
+"""Addresses of the form IP:PORT."""
 
 from ipaddress import ip_address
 
-PORTS = 65536
+PORT_COUNT = 65536
 
 
 def host_of(address: str) -> str:
     """
     Return the host of an address IP:PORT.
 
-    Processes on one instance have it in common, a target and its agent too.
+    Processes on one instance, such as a target and its agent, have the same host.
 
     >>> host_of("10.1.0.40:8229")
     '10.1.0.40'
@@ -19,7 +19,7 @@
 
 def is_address(raw: str) -> bool:
     """
-    Tell whether a text is an address IP:PORT that can be called.
+    Return whether a text is an address IP:PORT that can be called.
 
     >>> [is_address(raw) for raw in ("10.1.0.40:80", "[::1]:80", "10.1.0.40", "a:b")]
     [True, True, False, False]
@@ -29,4 +29,4 @@
         ip_address(host.strip("[]"))
     except ValueError:
         return False
-    return port.isascii() and port.isdigit() and 0 < int(port) < PORTS
+    return port.isascii() and port.isdigit() and 0 < int(port) < PORT_COUNT
--- a/packages/common/src/briarthread_common/utils/recent_failures.py
+++ b/packages/common/src/briarthread_common/utils/recent_failures.py
@@ -1,4 +1,4 @@
-"""Those who did not answer lately, and are left alone for a while."""
+"""Peers that failed recently and are skipped for a period."""
 
 from collections.abc import Iterable
 
@@ -7,10 +7,10 @@
 
 class RecentFailures:
     """
-    Remember for some seconds who did not answer.
+    Remember for some seconds which peers did not answer.
 
-    It is for callers that have others to turn to meanwhile: each call to one that
-    is gone takes its whole time to fail. Times are the runtime's.
+    It is for callers that can use other peers meanwhile, since each call to a
+    failed peer takes its full timeout. Times are on the event loop's clock.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -18,11 +18,11 @@
         self.until: dict[str, float] = {}
 
     def add(self, *names: str) -> None:
-        """Record that some did not answer."""
+        """Record peers that did not answer."""
         until = anyio.current_time() + self.seconds
         self.until |= dict.fromkeys(names, until)
 
     def without_recent(self, names: Iterable[str]) -> list[str]:
-        """Return those of some names that are not passed over, in their order."""
+        """Return the names without those that failed recently, in the same order."""
         now = anyio.current_time()
         return [name for name in names if self.until.get(name, now) <= now]
--- a/tests/common/test_backoff.py
+++ b/tests/common/test_backoff.py
@@ -1,4 +1,4 @@
-"""Parsing of Retry-After."""
+"""Tests for the parsing of Retry-After."""
 
 import pytest
 from builders import build_head
@@ -62,7 +62,9 @@
 # Guards against a malformed header raising an exception out of read_response_signals.
 @given(st.lists(st.text(max_size=40), max_size=3), st.text(max_size=40))
 @settings(max_examples=2000, derandomize=True, deadline=None)
-def test_any_text_for_a_pause_is_taken_or_left(raws: list[str], date: str) -> None:
+def test_malformed_retry_after_and_date_raise_no_error(
+    raws: list[str], date: str
+) -> None:
     fields = [("date", date), *(("retry-after", raw) for raw in raws)]
     assert (
         0.0
--- a/tests/common/test_call.py
+++ b/tests/common/test_call.py
@@ -1,4 +1,4 @@
-"""The answer of a call is sent whole."""
+"""Tests for the server side of a call."""
 
 import anyio
 import pytest
@@ -10,7 +10,7 @@
 SLOW_SECONDS = 0.2
 
 
-def test_whole_answer_once_begun_is_not_cut_off_by_a_deadline() -> None:
+def test_deadline_does_not_truncate_a_started_response() -> None:
     sent: list[dict[str, object]] = []
 
     async def send_slowly(message: dict[str, object]) -> None:
@@ -35,7 +35,7 @@
         [(b"content-length", b"3"), (b"transfer-encoding", b"chunked")],
     ],
 )
-def test_headers_that_two_readers_could_read_differently_are_refused(
+def test_ambiguous_headers_are_rejected(
     headers: list[tuple[bytes, bytes]],
 ) -> None:
     scope = {"method": "POST", "path": "/", "headers": headers}
--- a/tests/common/test_log_sink.py
+++ b/tests/common/test_log_sink.py
@@ -1,4 +1,4 @@
-"""The log never holds a process up, and says what it left out."""
+"""The log sink never blocks the process and reports how many lines it dropped."""
 
 import io
 import threading
@@ -8,8 +8,8 @@
 WAIT_SECONDS = 5.0
 
 
-class StuckStream(io.StringIO):
-    """A stream that takes nothing before it is released."""
+class BlockedStream(io.StringIO):
+    """A stream whose writes block until it is released."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -17,13 +17,13 @@
         self.reached = threading.Event()
 
     def write(self, text: str) -> int:
-        """Wait for the release, then write."""
+        """Block until the release, then write."""
         self.reached.set()
         self.released.wait(WAIT_SECONDS)
         return super().write(text)
 
 
-def test_lines_are_written_in_order_and_all_at_the_end() -> None:
+def test_all_lines_are_written_in_order_on_stop() -> None:
     stream = io.StringIO()
     sink = LogSink(stream, clock=lambda: 0.0)
     for number in range(100):
@@ -32,8 +32,8 @@
     assert stream.getvalue().splitlines() == [f"line {n}" for n in range(100)]
 
 
-def test_stream_that_nobody_reads_loses_lines_and_not_time() -> None:
-    stream = StuckStream()
+def test_blocked_stream_drops_lines_without_blocking_the_writer() -> None:
+    stream = BlockedStream()
     sink = LogSink(stream, clock=lambda: 0.0, max_queued=10)
     sink.write("first\n")
     assert stream.reached.wait(WAIT_SECONDS)
@@ -41,7 +41,7 @@
         sink.write(f"line {number}\n")
     assert sink.dropped == 40
     stream.released.set()
-    while sink.waiting.qsize():
+    while sink.pending.qsize():
         sink.thread.join(0.001)
     sink.write("after\n")
     sink.stop()
@@ -50,7 +50,7 @@
     assert written[-2:] == ["logs: 40 lines were left out before this", "after"]
 
 
-def test_rush_of_lines_is_cut_to_so_many_a_second() -> None:
+def test_lines_above_the_rate_limit_are_dropped() -> None:
     now = [10.0]
     stream = io.StringIO()
     sink = LogSink(stream, clock=lambda: now[0], max_per_second=20)
--- a/tests/common/test_reference_pages.py
+++ b/tests/common/test_reference_pages.py
@@ -1,4 +1,4 @@
-"""The reference pages say what the code expects."""
+"""The reference pages match the option specifications in the code."""
 
 from pathlib import Path
 
--- a/tests/common/test_route_log.py
+++ b/tests/common/test_route_log.py
@@ -1,4 +1,4 @@
-"""The log says why a configuration is in force, or none is."""
+"""Tests for the log lines on the configuration in use."""
 
 from collections.abc import Iterator
 
@@ -13,14 +13,14 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """Collect what is logged, each line after its level."""
-    found: list[str] = []
-    number = logger.add(found.append, format="{level} {message}")
-    yield found
-    logger.remove(number)
+    """Collect the log lines, each prefixed with its level."""
+    collected: list[str] = []
+    handler_id = logger.add(collected.append, format="{level} {message}")
+    yield collected
+    logger.remove(handler_id)
 
 
-def test_start_without_a_configuration_is_no_warning(lines: list[str]) -> None:
+def test_missing_configuration_at_start_logs_no_warning(lines: list[str]) -> None:
     feed = Feed("routes")
     feed.install(FeedPatch("routes", 0, 1, {}))
     assert RouteView(feed, ADAPTER).current() is None
--- a/tests/common/test_text.py
+++ b/tests/common/test_text.py
@@ -1,4 +1,4 @@
-"""A services text is checked whole, and all its faults are told at once."""
+"""Tests for the checks of a services text, which report all faults together."""
 
 from pathlib import Path
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("name", ["caruso.ini", "paristokierto.ini"])
-def test_examples_are_good(name: str) -> None:
+def test_examples_are_valid(name: str) -> None:
     text = load((EXAMPLES / name).read_text(encoding="utf-8"))
     assert len(text.accounts) == 10
     assert len(text.data_centres) == 3
@@ -50,11 +50,11 @@
         ("[service ../x]\ndata_centres = palermo\n", "text.E004"),
     ],
 )
-def test_fault_is_named(more: str, fault: str) -> None:
+def test_fault_is_reported_with_its_id(more: str, fault: str) -> None:
     assert fault in fault_ids(build_text(more=more))
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_together() -> None:
     more = (
         "[service x]\ndata_centres = nowhere\ndeadline = soon\n"
         "[service y]\ndata_centres = nowhere\n[salon z]\n"
