--- a/packages/common/src/briarthread_common/http/app.py
+++ b/packages/common/src/briarthread_common/http/app.py
@@ -1,4 +1,4 @@
-"""A small ASGI application made of routes."""
+"""Minimal ASGI application that dispatches calls to routes."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -6,33 +6,37 @@
 
 from loguru import logger
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
 from briarthread_common.core.error_kind import ErrorKind
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.exceptions import RequestError
-from briarthread_common.http.call import Call, CallerGone
+from briarthread_common.http.call import Call, CallerDisconnected
 
 Handler = Callable[[Call], Awaitable[None]]
 
 
-class AnswerAborted(Exception):  # noqa: N818
+class ResponseAborted(Exception):  # noqa: N818
     """
-    An answer that had begun cannot be made whole.
+    A response that was already started cannot be completed.
 
-    The server then closes the connection without the body's end, so that
-    the other side never takes the part for the whole.
+    The server closes the connection without terminating the body, so that
+    the client can't mistake the truncated body for a complete one.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Tie a method and a path to a handler; a path ending in / is a prefix."""
+    """
+    Map a method and a path to a handler.
+
+    The method ``*`` matches any method; a path that ends in / matches as a prefix.
+    """
 
     method: str
     path: str
     handler: Handler
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a call is this route's."""
+        """Return whether the route matches a call."""
         if self.method not in ("*", method):
             return False
         if self.path.endswith("/"):
@@ -41,27 +45,27 @@
 
 
 class App:
-    """Answer each call by the first route that matches it."""
+    """Dispatch each call to the first matching route."""
 
     def __init__(self, routes: list[Route]) -> None:
         self.routes = routes
 
     async def __call__(self, scope: dict[str, Any], receive: Any, send: Any) -> None:
-        """Serve one ASGI call."""
+        """Handle one ASGI call."""
         if scope["type"] != "http":
             return
         call = Call(scope, receive, send)
         try:
             await self._handle(call)
-        except CallerGone:
+        except CallerDisconnected:
             return
         except RequestError as error:
             await self._answer_error(call, error)
-        except AnswerAborted:
+        except ResponseAborted:
             raise
         except Exception as error:
             if _is_abort(error):
-                raise AnswerAborted(call.path) from error
+                raise ResponseAborted(call.path) from error
             logger.exception("http: handler failed on {}", call.path)
             internal = RequestError(ErrorKind.INTERNAL, "see the log")
             await self._answer_error(call, internal)
@@ -75,12 +79,12 @@
 
     async def _answer_error(self, call: Call, error: RequestError) -> None:
         if call.started:
-            raise AnswerAborted(str(error)) from error
-        await call.reply_error(error, ERROR_ANSWERS[error.kind].status)
+            raise ResponseAborted(str(error)) from error
+        await call.reply_error(error, ERROR_RESPONSES[error.kind].status)
 
 
 def _is_abort(error: Exception) -> bool:
-    """Tell whether a task group failed by nothing but an aborted answer."""
+    """Return whether an exception group contains only ResponseAborted."""
     if not isinstance(error, ExceptionGroup):
         return False
-    return error.split(AnswerAborted)[1] is None
+    return error.split(ResponseAborted)[1] is None
--- a/packages/common/src/briarthread_common/http/call_many.py
+++ b/packages/common/src/briarthread_common/http/call_many.py
@@ -1,4 +1,4 @@
-"""Calls to many processes at once."""
+"""Concurrent calls to many processes."""
 
 from collections.abc import Mapping
 from typing import TypeVar
@@ -18,14 +18,14 @@
     messages: Mapping[str, object],
     answer_type: type[T],
     timeout: float,
-    packed: bool = False,
+    compressed: bool = False,
 ) -> dict[str, T]:
     """
-    Send each address its message and return the answers that came.
+    Send each address its message and return the answers by address.
 
-    A message of ``None`` makes a GET. Addresses that fail or take longer
-    than ``timeout`` seconds are left out of the answers; for ``packed`` see
-    call_json.
+    A message of ``None`` is sent as a GET. Addresses that fail or take longer
+    than ``timeout`` seconds are omitted from the result; for ``compressed`` see
+    call_json().
     """
     answers: dict[str, T] = {}
 
@@ -33,7 +33,14 @@
         method = "GET" if message is None else "POST"
         try:
             answers[address] = await call_json(
-                channel, address, method, path, message, answer_type, timeout, packed
+                channel,
+                address,
+                method,
+                path,
+                message,
+                answer_type,
+                timeout,
+                compressed,
             )
         except ChannelError:
             return
--- a/packages/common/src/briarthread_common/http/channel_options.py
+++ b/packages/common/src/briarthread_common/http/channel_options.py
@@ -1,38 +1,39 @@
-"""How a channel keeps its connections."""
+"""Connection options of a channel."""
 
 import socket
 from dataclasses import dataclass
 
-PROBE_SECONDS = 1
-"""Pause before and between keep-alive probes of the kernel."""
-PROBES = 2
+KEEPALIVE_PROBE_SECONDS = 1
+"""Idle time before the first TCP keep-alive probe, and time between probes."""
+KEEPALIVE_PROBES = 2
+"""Number of unanswered probes after which the kernel closes the connection."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelOptions:
     """
-    Bound the connections to one address; times are in seconds.
+    Limit the connections to one address; times are in seconds.
 
-    ``silence_seconds`` is how long the kernel goes on sending to a peer that
-    does not acknowledge; it is the only sign of a path that was cut. 0
-    leaves the kernel's own limit, which is many minutes.
+    ``user_timeout_seconds`` is how long the kernel retransmits to a peer that
+    doesn't acknowledge, which is the only sign of an interrupted network path.
+    0 keeps the kernel's own limit, which is many minutes.
     """
 
     connect_timeout: float = 1.0
     keepalive_seconds: float = 30.0
     max_connections: int = 1000
     max_idle: int = 20
-    silence_seconds: float = 0.0
+    user_timeout_seconds: float = 0.0
 
     def socket_options(self) -> list[tuple[int, int, int]]:
-        """Return the options that make a dead path show itself."""
-        if not self.silence_seconds:
+        """Return the socket options that detect an interrupted network path."""
+        if not self.user_timeout_seconds:
             return []
-        milliseconds = int(self.silence_seconds * 1000)
+        milliseconds = int(self.user_timeout_seconds * 1000)
         return [
             (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds),
             (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS),
-            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_SECONDS),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS),
+            (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
         ]
--- a/packages/common/src/briarthread_common/http/problem.py
+++ b/packages/common/src/briarthread_common/http/problem.py
@@ -1,10 +1,10 @@
-"""Error answers as problem+json."""
+"""Error responses as problem+json."""
 
 import math
 
 import msgspec
 
-from briarthread_common.core.error_answer import ERROR_ANSWERS
+from briarthread_common.core.error_response import ERROR_RESPONSES
 from briarthread_common.core.exceptions import RequestError
 
 PROBLEM_TYPE = "application/problem+json"
@@ -15,8 +15,8 @@
     return msgspec.json.encode(
         {
             "type": f"urn:briarthread:{error.kind}",
-            "title": ERROR_ANSWERS[error.kind].title,
-            "status": ERROR_ANSWERS[error.kind].status,
+            "title": ERROR_RESPONSES[error.kind].title,
+            "status": ERROR_RESPONSES[error.kind].status,
             "detail": error.detail,
             "outcome": error.outcome,
             "request": request_id,
@@ -28,15 +28,15 @@
     """
     Return the headers of a failed request.
 
-    ``Retry-After`` is in whole seconds and never rounds down to nothing, or,
-    for callers known to read fractions, ``exact`` to a millisecond.
+    ``Retry-After`` is rounded up to whole seconds and is at least 1. With ``exact``,
+    for callers known to parse fractions, it has milliseconds instead.
     """
     headers = [
         ("content-type", PROBLEM_TYPE),
         ("briarthread-outcome", str(error.outcome)),
     ]
     if error.retry_after is not None:
-        whole = max(1, math.ceil(error.retry_after))
-        value = f"{error.retry_after:.3f}" if exact else str(whole)
+        whole_seconds = max(1, math.ceil(error.retry_after))
+        value = f"{error.retry_after:.3f}" if exact else str(whole_seconds)
         headers.append(("retry-after", value))
     return headers
--- a/packages/common/src/briarthread_common/messages/hello.py
+++ b/packages/common/src/briarthread_common/messages/hello.py
@@ -1,14 +1,14 @@
-"""Who answers at an agent's address."""
+"""Identity of the process that answers at an agent's address."""
 
 from dataclasses import dataclass
 
 HELLO_PATH = "/agent/v1/hello"
-HELLO_TIMEOUT = 1.0
+HELLO_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Say which incarnation of which instance answers at an address."""
+    """Name and incarnation of the instance that answers at an address."""
 
     name: str
     incarnation: str
--- a/packages/entry/src/briarthread_entry/commands/apply.py
+++ b/packages/entry/src/briarthread_entry/commands/apply.py
@@ -16,7 +16,7 @@
 from briarthread_common.text.split_text import join_text, split_text
 from briarthread_common.text.text_store import (
     Accepted,
-    Lost,
+    Superseded,
     TextStore,
     Unchanged,
 )
@@ -66,11 +66,11 @@
             case Unchanged(number=number):
                 print(f"version {number} already has the same content")
                 return ExitCode.DONE
-            case Lost():
+            case Superseded():
                 self._show_conflict(result, sections)
                 return ExitCode.CONFLICT
 
-    def _show_conflict(self, conflict: Lost, own_sections: dict[str, str]) -> None:
+    def _show_conflict(self, conflict: Superseded, own_sections: dict[str, str]) -> None:
         print(
             f"not accepted: version {conflict.number} by {conflict.by} was accepted "
             "meanwhile, so the file was not activated. Run show, edit its output and "
--- a/packages/entry/src/briarthread_entry/commands/direct.py
+++ b/packages/entry/src/briarthread_entry/commands/direct.py
@@ -20,7 +20,7 @@
 from briarthread_entry.direct.settings import DirectSettings, load_direct_settings
 
 TARGET_CHANNEL_OPTIONS = ChannelOptions(
-    connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, silence_seconds=1.2
+    connect_timeout=0.5, keepalive_seconds=4.0, max_idle=12, user_timeout_seconds=1.2
 )
 """
 Options of the connections to targets.
@@ -28,9 +28,9 @@
 A reachable target accepts a connection within milliseconds, even if a busy link loses
 one packet. 4 s is shorter than any idle timeout that targets state.
 """
-PEER_CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, silence_seconds=1.0)
+PEER_CHANNEL_OPTIONS = ChannelOptions(connect_timeout=0.4, user_timeout_seconds=1.0)
 STORE_CHANNEL_OPTIONS = ChannelOptions(
-    connect_timeout=0.8, silence_seconds=1.0, max_idle=4
+    connect_timeout=0.8, user_timeout_seconds=1.0, max_idle=4
 )
 """Peers and the store answer within milliseconds if they answer at all."""
 
--- a/packages/entry/src/briarthread_entry/direct/attempt_sender.py
+++ b/packages/entry/src/briarthread_entry/direct/attempt_sender.py
@@ -5,9 +5,9 @@
 from briarthread_common.core.error_kind import ErrorKind
 from briarthread_common.core.exceptions import (
     ChannelError,
-    NotWrittenError,
+    InvalidResponseError,
     RequestError,
-    SpoiltAnswerError,
+    RequestNotSentError,
 )
 from briarthread_common.direct.call_kind import CallKind
 from briarthread_common.direct.header_names import HeaderNames
@@ -69,9 +69,9 @@
                     self._check_request_id(request, response)
                     self._record_head(state, response, sent_at)
                     return await self._read(request, response, relay)
-        except NotWrittenError as error:
+        except RequestNotSentError as error:
             return NotRun(_request_error(ErrorKind.NO_TARGET, error), written=False)
-        except SpoiltAnswerError as error:
+        except InvalidResponseError as error:
             return OutcomeUnknown(_request_error(ErrorKind.TARGET_FAILED, error))
         except ChannelError as error:
             return OutcomeUnknown(
@@ -105,9 +105,9 @@
     def _check_request_id(
         self, request: DirectRequest, response: ChannelResponse
     ) -> None:
-        """Raise SpoiltAnswerError for a response to another request."""
+        """Raise InvalidResponseError for a response to another request."""
         if response.headers.get(self.names.request_id, "") != request.id:
-            raise SpoiltAnswerError(
+            raise InvalidResponseError(
                 "response to another request or without a request id"
             )
 
@@ -131,13 +131,15 @@
             self.leaving_targets.note_leaving(name)
 
     def _check_response(self, response: ChannelResponse) -> None:
-        """Raise SpoiltAnswerError for a success that the target did not produce."""
+        """Raise InvalidResponseError for a success that the target did not produce."""
         if response.status >= 300:
             return
         if self.names.target_stamp not in response.headers:
-            raise SpoiltAnswerError("success response without the target's signature")
+            raise InvalidResponseError(
+                "success response without the target's signature"
+            )
         if response.headers.get("content-encoding", "identity") != "identity":
-            raise SpoiltAnswerError("response has an unrequested content encoding")
+            raise InvalidResponseError("response has an unrequested content encoding")
 
     async def _relay_stream(
         self, response: ChannelResponse, headers: HeaderFields, relay: ResponseRelay
@@ -147,7 +149,7 @@
             for event in reader.feed(chunk):
                 await relay.forward_event(response.status, headers, event)
         if reader.incomplete:
-            raise SpoiltAnswerError("stream ended within an event")
+            raise InvalidResponseError("stream ended within an event")
         await relay.finish(response.status, headers)
 
     def _build_request(
@@ -167,7 +169,7 @@
             request.path,
             tuple(headers),
             request.body,
-            fresh=not request.route.retryable,
+            new_connection=not request.route.retryable,
         )
 
 
--- a/packages/entry/src/briarthread_entry/direct/request_runner.py
+++ b/packages/entry/src/briarthread_entry/direct/request_runner.py
@@ -10,7 +10,7 @@
 from briarthread_common.core.exceptions import RequestError
 from briarthread_common.core.metrics import Metrics
 from briarthread_common.direct.group_id import GroupId
-from briarthread_common.http.app import AnswerAborted
+from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.call import Call
 from briarthread_entry.direct.attempt_outcome import (
     DirectOutcome,
@@ -268,7 +268,7 @@
 
 async def _send_response(call: Call, response: TargetResponse) -> None:
     if call.started:
-        raise AnswerAborted(
+        raise ResponseAborted(
             "a started stream cannot be completed with a buffered response"
         )
     await call.reply(response.status, response.body, response.headers)
--- a/packages/entry/src/briarthread_entry/direct/running_watcher.py
+++ b/packages/entry/src/briarthread_entry/direct/running_watcher.py
@@ -8,11 +8,14 @@
 
 from briarthread_common.core.exceptions import ChannelError
 from briarthread_common.http.channel import Channel
-from briarthread_common.http.report_stream import SILENCE_SECONDS, follow_reports
+from briarthread_common.http.report_stream import (
+    REPORT_TIMEOUT_SECONDS,
+    read_report_stream,
+)
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_common.spread.directory import Directory
-from briarthread_common.utils.passed_over import PassedOver
+from briarthread_common.utils.recent_failures import RecentFailures
 from briarthread_entry.direct.peer_reports import PeerReports
 from briarthread_entry.direct.report_blocks import build_blocks
 from briarthread_entry.direct.subscriptions import (
@@ -60,7 +63,7 @@
         self.rng = rng
         self.subscriptions: dict[Subscription, anyio.CancelScope] = {}
         self.subscribers = 0
-        self.unresponsive = PassedOver(UNRESPONSIVE_SECONDS)
+        self.unresponsive = RecentFailures(UNRESPONSIVE_SECONDS)
         self.collector_requested = anyio.Event()
 
     async def run(self) -> None:
@@ -141,13 +144,13 @@
                 return [name for name in block if name != self.name]
 
     def _responsive(self, subscription: Subscription) -> list[str]:
-        return self.unresponsive.others(self._candidates(subscription))
+        return self.unresponsive.without_recent(self._candidates(subscription))
 
     async def _read_reports(self, subscription: Subscription, row: Instance) -> None:
         path = report_path(subscription, self.name)
         is_single_entry = isinstance(subscription, EntrySubscription)
-        lifetime = SILENCE_SECONDS if is_single_entry else SUM_LIFETIME_SECONDS
-        reports = follow_reports(self.channel, row.address, path, RunningReport)
+        lifetime = REPORT_TIMEOUT_SECONDS if is_single_entry else SUM_LIFETIME_SECONDS
+        reports = read_report_stream(self.channel, row.address, path, RunningReport)
         try:
             async for report in reports:
                 now = anyio.current_time()
@@ -155,7 +158,7 @@
                     report_source(subscription), report, now, lifetime
                 )
         except ChannelError as error:
-            self.unresponsive.note(row.name)
+            self.unresponsive.add(row.name)
             logger.info(
                 "running: reports of {} from {} ended: {}",
                 subscription,
