--- a/examples/demo.py
+++ b/examples/demo.py
@@ -25,8 +25,8 @@
             print("Starting three data centres on loopback ...")
             deployment.start()
             deployment.apply(TEXT)
-            deployment.wait_ready()
-            deployment.wait_shares(["diary"], SHARES)
+            deployment.wait_until_ready()
+            deployment.wait_for_shares(["diary"], SHARES)
             good = book(deployment) and stream(deployment)
         finally:
             deployment.stop()
--- a/packages/measure/src/briarthread_measure/ablation_run.py
+++ b/packages/measure/src/briarthread_measure/ablation_run.py
@@ -20,18 +20,18 @@
 
 from briarthread_measure.left_out import VARIANTS
 from briarthread_measure.ways_table import Play, print_ways
-from briarthread_standins.load_day import LoadDay
-from briarthread_standins.play_load import play_load
+from briarthread_standins.load_scenario import LoadScenario
+from briarthread_standins.load_simulation import simulate_load
 
 CAPACITY = 16.0
 DAYS = {
-    "0.6 x": LoadDay(0.6 * CAPACITY),
-    "1.5 x": LoadDay(1.5 * CAPACITY),
-    "2.5 x": LoadDay(2.5 * CAPACITY),
-    "burst": LoadDay(0.6 * CAPACITY, burst=3.0),
-    "away 2 s": LoadDay(0.6 * CAPACITY, outage_seconds=2.0),
-    "away 5.5 s": LoadDay(0.6 * CAPACITY, seconds=16.0, outage_seconds=5.5),
-    "away 8 s": LoadDay(0.6 * CAPACITY, seconds=18.0, outage_seconds=8.0),
+    "0.6 x": LoadScenario(0.6 * CAPACITY),
+    "1.5 x": LoadScenario(1.5 * CAPACITY),
+    "2.5 x": LoadScenario(2.5 * CAPACITY),
+    "burst": LoadScenario(0.6 * CAPACITY, burst_factor=3.0),
+    "away 2 s": LoadScenario(0.6 * CAPACITY, outage_seconds=2.0),
+    "away 5.5 s": LoadScenario(0.6 * CAPACITY, seconds=16.0, outage_seconds=5.5),
+    "away 8 s": LoadScenario(0.6 * CAPACITY, seconds=18.0, outage_seconds=8.0),
 }
 BY_NAME = {variant.name: variant for variant in VARIANTS}
 
@@ -41,9 +41,9 @@
     logger.remove()
     variant = BY_NAME[play.way]
     with variant.applied():
-        return play_load(
+        return simulate_load(
             replace(DAYS[play.load], seed=play.seed), variant.prepare
-        ).worth
+        ).score
 
 
 def main() -> None:
--- a/packages/measure/src/briarthread_measure/crash_run.py
+++ b/packages/measure/src/briarthread_measure/crash_run.py
@@ -14,8 +14,8 @@
 from docopt import docopt
 from loguru import logger
 
-from briarthread_standins.crash_day import CRASHING
-from briarthread_standins.play_crashes import play_crashes
+from briarthread_standins.crash_scenario import CRASH_SCENARIOS
+from briarthread_standins.crash_simulation import simulate_crashes
 
 
 def main() -> None:
@@ -24,8 +24,8 @@
     stable = float(docopt(__doc__)["--stable"])
     print("| play | crashes | arrivals later | served beside it |")
     print("| --- | --- | --- | --- |")
-    for name, day in CRASHING.items():
-        tally = play_crashes(day)
+    for name, day in CRASH_SCENARIOS.items():
+        tally = simulate_crashes(day)
         later = tally.arrivals_after(3, stable)
         served = f"{tally.statuses[200]} of {sum(tally.statuses.values())}"
         print(f"| {name} | {len(tally.crashes)} | {later} | {served} |", flush=True)
--- a/packages/measure/src/briarthread_measure/crash_ways_run.py
+++ b/packages/measure/src/briarthread_measure/crash_ways_run.py
@@ -24,18 +24,23 @@
 from briarthread_entry.direct import crash_tracker
 from briarthread_entry.direct.crash_rule import Strike
 from briarthread_measure.ways_table import Play, print_ways
-from briarthread_standins.crash_day import PLAIN, CrashDay
-from briarthread_standins.play_crashes import play_crashes
+from briarthread_standins.crash_scenario import PLAIN_SERVICE, CrashScenario
+from briarthread_standins.crash_simulation import simulate_crashes
 
-SHORT = replace(PLAIN, seconds=20.0)
-KILLED = replace(SHORT, every=100.0, alike=0.3, rate=60.0)
+SHORT = replace(PLAIN_SERVICE, seconds=20.0)
+KILLED = replace(SHORT, crash_interval=100.0, identical_share=0.3, rate=60.0)
 LOADS = {
     "one request crashes": SHORT,
-    "1 target a second": replace(KILLED, kills=1, down=2.0),
-    "3 targets a second": replace(KILLED, kills=3, down=1.0),
-    "5 of 6 a second": replace(KILLED, kills=5, down=0.7),
-    "ranks, 1 a second": CrashDay(
-        every=100.0, alike=0.3, kills=1, down=0.4, rate=8.0, seconds=20.0
+    "1 target a second": replace(KILLED, crashes_per_second=1, down_seconds=2.0),
+    "3 targets a second": replace(KILLED, crashes_per_second=3, down_seconds=1.0),
+    "5 of 6 a second": replace(KILLED, crashes_per_second=5, down_seconds=0.7),
+    "ranks, 1 a second": CrashScenario(
+        crash_interval=100.0,
+        identical_share=0.3,
+        crashes_per_second=1,
+        down_seconds=0.4,
+        rate=8.0,
+        seconds=20.0,
     ),
 }
 
@@ -73,7 +78,9 @@
     """Return how many requests are shut out in one play."""
     logger.remove()
     with applied(play.way):
-        return play_crashes(replace(LOADS[play.load], seed=play.seed)).shut_out
+        return simulate_crashes(
+            replace(LOADS[play.load], seed=play.seed)
+        ).blocked_requests
 
 
 def main() -> None:
--- a/packages/measure/src/briarthread_measure/group_choice_run.py
+++ b/packages/measure/src/briarthread_measure/group_choice_run.py
@@ -28,25 +28,25 @@
 )
 from briarthread_measure import group_ways
 from briarthread_measure.ways_table import Play, print_ways
-from briarthread_standins.load_day import LoadDay
-from briarthread_standins.play_load import play_load
+from briarthread_standins.load_scenario import LoadScenario
+from briarthread_standins.load_simulation import simulate_load
 
 CAPACITY = 32.0
 """Requests a second that twelve ranks of two like groups serve in time."""
 LOADS = {
-    "0.6 x": LoadDay(0.6 * CAPACITY, ranks=12, groups=2),
-    "1.5 x": LoadDay(1.5 * CAPACITY, ranks=12, groups=2),
-    "0.6 x, one 1.6 times slower": LoadDay(
-        0.6 * CAPACITY, ranks=12, groups=2, slow=1.6
+    "0.6 x": LoadScenario(0.6 * CAPACITY, ranks=12, groups=2),
+    "1.5 x": LoadScenario(1.5 * CAPACITY, ranks=12, groups=2),
+    "0.6 x, one 1.6 times slower": LoadScenario(
+        0.6 * CAPACITY, ranks=12, groups=2, slow_factor=1.6
     ),
-    "0.9 x, one 1.6 times slower": LoadDay(
-        0.9 * CAPACITY, ranks=12, groups=2, slow=1.6
+    "0.9 x, one 1.6 times slower": LoadScenario(
+        0.9 * CAPACITY, ranks=12, groups=2, slow_factor=1.6
     ),
-    "0.6 x, one away 5.5 s": LoadDay(
+    "0.6 x, one away 5.5 s": LoadScenario(
         0.6 * CAPACITY, seconds=16.0, ranks=12, groups=2, outage_seconds=5.5
     ),
-    "0.7 x, three groups, one 1.6 times slower": LoadDay(
-        0.7 * CAPACITY, ranks=12, groups=3, slow=1.6
+    "0.7 x, three groups, one 1.6 times slower": LoadScenario(
+        0.7 * CAPACITY, ranks=12, groups=3, slow_factor=1.6
     ),
 }
 NOT_TOLD = "groups not told apart"
@@ -86,8 +86,10 @@
 
         entry.admission._allowed_groups = choose
 
-    day = replace(LOADS[play.load], seed=play.seed, told=play.way != NOT_TOLD)
-    return play_load(day, prepare).worth
+    day = replace(
+        LOADS[play.load], seed=play.seed, membership_reported=play.way != NOT_TOLD
+    )
+    return simulate_load(day, prepare).score
 
 
 def main() -> None:
--- a/packages/measure/src/briarthread_measure/left_out.py
+++ b/packages/measure/src/briarthread_measure/left_out.py
@@ -11,7 +11,7 @@
 from briarthread_entry.direct.direct_entry import DirectEntry
 from briarthread_entry.direct.direct_request import DirectRequest
 from briarthread_entry.direct.group_capacity import GroupCapacities
-from briarthread_standins.play_load import ENTRIES
+from briarthread_standins.load_simulation import ENTRIES
 
 FIXED_STREAMS = 36
 """Streams that the fixed limit allows, all entries together: every slot."""
--- a/packages/measure/src/briarthread_measure/limit_run.py
+++ b/packages/measure/src/briarthread_measure/limit_run.py
@@ -23,9 +23,9 @@
 
 from briarthread_measure.limit_ways import WAYS
 from briarthread_standins.direct_config import DIARY
-from briarthread_standins.limit_day import LimitDay, LimitStep
-from briarthread_standins.limit_tally import allowed
-from briarthread_standins.play_limits import play_limits
+from briarthread_standins.limit_results import max_allowed_arrivals
+from briarthread_standins.limit_scenario import LimitScenario, LimitStep
+from briarthread_standins.limit_simulation import simulate_limits
 
 NAMED_AT, STABLE_SECONDS = 1.0, 3.0
 TARGETS = 4
@@ -33,28 +33,28 @@
 PRESSURE = 2.0
 """Load on the limited targets, as a part of their limits, if it came evenly."""
 
-Build = Callable[[int, str, float], LimitDay]
+Build = Callable[[int, str, float], LimitScenario]
 
 
-def one_limited(entries: int, limit: str, seconds: float) -> LimitDay:
+def one_limited(entries: int, limit: str, seconds: float) -> LimitScenario:
     """Return a day on which one rank of some names a limit."""
     rate = TARGETS * PRESSURE * float(limit)
     steps = (LimitStep(NAMED_AT, limit),)
-    return LimitDay(entries, TARGETS, rate=rate, seconds=seconds, steps=steps)
+    return LimitScenario(entries, TARGETS, rate=rate, seconds=seconds, steps=steps)
 
 
-def restarted(entries: int, limit: str, seconds: float) -> LimitDay:
+def restarted(entries: int, limit: str, seconds: float) -> LimitScenario:
     """Return such a day on which an entry starts again."""
     day = one_limited(entries, limit, seconds)
-    return replace(day, restarted=True, trouble_at=8.0)
+    return replace(day, restarted=True, fault_at=8.0)
 
 
-def cut_off(entries: int, limit: str, seconds: float) -> LimitDay:
+def cut_off(entries: int, limit: str, seconds: float) -> LimitScenario:
     """Return such a day on which an entry is cut off for some seconds."""
-    return replace(one_limited(entries, limit, seconds), cut_off=True, trouble_at=8.0)
+    return replace(one_limited(entries, limit, seconds), cut_off=True, fault_at=8.0)
 
 
-def all_limited(entries: int, limit: str, seconds: float) -> LimitDay:
+def all_limited(entries: int, limit: str, seconds: float) -> LimitScenario:
     """Return a day on which all targets of a plain service name a limit."""
     day = one_limited(entries, limit, seconds)
     steps = (LimitStep(NAMED_AT, limit, TARGETS),)
@@ -69,13 +69,13 @@
 }
 
 
-def cell(way: str, day: LimitDay, limit: float) -> str:
+def cell(way: str, day: LimitScenario, limit: float) -> str:
     """Play a day in one way and return what its target got."""
-    tally = play_limits(day, WAYS[way])
+    tally = simulate_limits(day, WAYS[way])
     since = NAMED_AT + STABLE_SECONDS
-    got = tally.a_second(0, since, day.seconds) / limit
+    got = tally.arrivals_per_second(0, since, day.seconds) / limit
     served = tally.statuses[200] / max(sum(tally.statuses.values()), 1)
-    return f"{tally.most(0, since)}; {got:.2f}; {served:.2f}"
+    return f"{tally.max_arrivals(0, since)}; {got:.2f}; {served:.2f}"
 
 
 def main() -> None:
@@ -88,7 +88,11 @@
     for entries in (int(number) for number in arguments["--entries"].split(",")):
         print(f"\n| {entries} entries |", " | ".join(f"{one}/s" for one in limits), "|")
         print("| --- |", " | ".join("---" for _ in limits), "|")
-        print("| allowed |", " | ".join(f"{allowed(float(x)):g}" for x in limits), "|")
+        print(
+            "| allowed |",
+            " | ".join(f"{max_allowed_arrivals(float(x)):g}" for x in limits),
+            "|",
+        )
         for load in loads:
             for way in WAYS:
                 days = [(LOADS[load](entries, one, seconds), one) for one in limits]
--- a/packages/measure/src/briarthread_measure/open_load.py
+++ b/packages/measure/src/briarthread_measure/open_load.py
@@ -49,7 +49,7 @@
     ) -> Tally:
         """Send ``rate`` requests a second for a while and count the answers."""
         tally = Tally()
-        entries = [n for n in self.world.members if n.startswith("entry-")]
+        entries = [n for n in self.world.processes if n.startswith("entry-")]
         end = self.world.clock.now() + seconds
         async with anyio.create_task_group() as tasks:
             while self.world.clock.now() < end:
--- a/packages/measure/src/briarthread_measure/overload_run.py
+++ b/packages/measure/src/briarthread_measure/overload_run.py
@@ -74,9 +74,9 @@
     """Return the tallies under load and after it, and attempts a request."""
     async with anyio.create_task_group() as tasks:
         load = await start_world(tasks, seed, blind)
-        before = load.world.network.messages
+        before = load.world.network.call_count
         tally = await load.run("caller", load_part * CAPACITY, SECONDS, TIMEOUT)
-        attempts = (load.world.network.messages - before) / tally.asked
+        attempts = (load.world.network.call_count - before) / tally.asked
         after = await load.run("caller", 0.5 * CAPACITY, 2.0, TIMEOUT)
         tasks.cancel_scope.cancel()
     return tally, after, attempts
--- a/packages/measure/src/briarthread_measure/relay_run.py
+++ b/packages/measure/src/briarthread_measure/relay_run.py
@@ -140,7 +140,7 @@
         try:
             deployment.start()
             deployment.apply(text)
-            deployment.wait_ready()
+            deployment.wait_until_ready()
             wait_until(lambda: targets_are_up(deployment), "targets")
             show_memory(deployment, "idle")
             for service, body, requests in (
--- a/packages/measure/src/briarthread_measure/spread_run.py
+++ b/packages/measure/src/briarthread_measure/spread_run.py
@@ -53,11 +53,11 @@
         await anyio.sleep(1)
         await world.apply(FIRST_TEXT)
         await anyio.sleep(START_SECONDS)
-        before = world.network.messages
+        before = world.network.call_count
         await anyio.sleep(QUIET_SECONDS)
-        quiet = world.network.messages - before
+        quiet = world.network.call_count - before
         if failing:
-            for name in list(world.members)[::DEAD_PART]:
+            for name in list(world.processes)[::DEAD_PART]:
                 world.kill(name)
         result = await time_change(world, quiet / QUIET_SECONDS)
         tasks.cancel_scope.cancel()
@@ -66,7 +66,7 @@
 
 async def time_change(world: World, quiet_rate: float) -> Spread:
     """Apply a text and wait until every process has it."""
-    before = world.network.messages
+    before = world.network.call_count
     start = world.clock.now()
     await world.apply(CHANGED_TEXT, base=1)
     accepted = world.clock.now()
@@ -75,8 +75,8 @@
     seconds = world.clock.now() - accepted
     await anyio.sleep(1)
     background = quiet_rate * (world.clock.now() - start)
-    extra = world.network.messages - before - background
-    return Spread(seconds, extra / len(world.members))
+    extra = world.network.call_count - before - background
+    return Spread(seconds, extra / len(world.processes))
 
 
 def main() -> None:
--- a/packages/standins/src/briarthread_standins/caller_tally.py
+++ b/packages/standins/src/briarthread_standins/caller_results.py
@@ -4,10 +4,10 @@
 
 
 @dataclass
-class CallerTally:
+class CallerResults:
     """Count what became of the requests of a load."""
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
@@ -16,6 +16,6 @@
     slowest_refusal: float = 0.0
 
     @property
-    def worth(self) -> float:
+    def score(self) -> float:
         """Return what the answers are worth, a late one half."""
-        return (self.in_time + 0.5 * self.late) / self.asked
+        return (self.in_time + 0.5 * self.late) / self.requests
--- a/packages/standins/src/briarthread_standins/crash_day.py
+++ b/packages/standins/src/briarthread_standins/crash_scenario.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CrashDay:
+class CrashScenario:
     """
     Describe a load; times are in seconds.
 
@@ -22,22 +22,24 @@
     service: str = MODEL
     kind: str = "stream"
     rate: float = 20.0
-    alike: float = 0.0
-    every: float = 2.0
-    repeats: int = 1
-    honours: bool = True
-    down: float = 3.0
-    kills: int = 0
+    identical_share: float = 0.0
+    crash_interval: float = 2.0
+    retries: int = 1
+    honours_retry_after: bool = True
+    down_seconds: float = 3.0
+    crashes_per_second: int = 0
     seconds: float = 30.0
     seed: int = 1
 
 
-PLAIN = CrashDay(service=DIARY, targets=6, kind="safe")
-CRASHING = {
-    "plain, safe": PLAIN,
-    "plain, unsafe": replace(PLAIN, kind="unsafe"),
-    "plain, at once again": replace(PLAIN, honours=False, repeats=4),
-    "ranks": CrashDay(every=4.0, rate=8.0, seconds=40.0),
-    "plain, 24 entries": replace(PLAIN, entries=24),
+PLAIN_SERVICE = CrashScenario(service=DIARY, targets=6, kind="safe")
+CRASH_SCENARIOS = {
+    "plain, safe": PLAIN_SERVICE,
+    "plain, unsafe": replace(PLAIN_SERVICE, kind="unsafe"),
+    "plain, at once again": replace(
+        PLAIN_SERVICE, honours_retry_after=False, retries=4
+    ),
+    "ranks": CrashScenario(crash_interval=4.0, rate=8.0, seconds=40.0),
+    "plain, 24 entries": replace(PLAIN_SERVICE, entries=24),
 }
 """Days on which one request crashes its targets, again and again."""
--- a/packages/standins/src/briarthread_standins/play_crashes.py
+++ b/packages/standins/src/briarthread_standins/crash_simulation.py
@@ -8,11 +8,11 @@
 from anyio.abc import TaskGroup
 
 from briarthread_common.core.exceptions import ChannelError
-from briarthread_standins.crash_day import CrashDay
+from briarthread_standins.crash_scenario import CrashScenario
 from briarthread_standins.direct_config import MODEL, build_config, build_route_row
 from briarthread_standins.direct_worker import DirectWorker
 from briarthread_standins.direct_world import DirectWorld
-from briarthread_standins.play_limits import centre_of
+from briarthread_standins.limit_simulation import data_centre_of
 from briarthread_standins.virtual_time import run_virtual
 
 SETTLE_SECONDS = 5.0
@@ -20,12 +20,12 @@
 """How long a caller waits for its whole answer, s."""
 STALL_SECONDS = 1.5
 """How long a group waits for a lost rank before it cuts off what runs."""
-CRASHING = b"crash"
-ALIKE = b"alike"
+CRASH_BODY = b"crash"
+IDENTICAL_BODY = b"alike"
 
 
 @dataclass(slots=True)
-class CrashTally:
+class CrashResults:
     """
     Hold what targets and callers got; times are seconds from the start.
 
@@ -39,7 +39,7 @@
     statuses: Counter[int] = field(default_factory=Counter)
     alike: Counter[int] = field(default_factory=Counter)
     answers: Counter[int] = field(default_factory=Counter)
-    shut_out: int = 0
+    blocked_requests: int = 0
 
     def arrivals_after(self, crashes: int, seconds: float) -> int:
         """Return its arrivals from some seconds after one of the crashes on."""
@@ -50,11 +50,11 @@
 
 
 class _CrashPlay:
-    def __init__(self, tasks: TaskGroup, day: CrashDay) -> None:
+    def __init__(self, tasks: TaskGroup, day: CrashScenario) -> None:
         self.tasks = tasks
         self.day = day
         self.rng = random.Random(day.seed)
-        self.tally = CrashTally()
+        self.tally = CrashResults()
         self.down: set[str] = set()
         self.start = 0.0
         self.world = DirectWorld(tasks, day.seed)
@@ -64,12 +64,12 @@
         self.world.store.put("op", "config", build_config(routes=[row]))
         for number in range(day.targets):
             name = f"target-{number}"
-            worker = self.world.add_worker(name, day.service, centre_of(name))
-            worker.crashes_on = CRASHING
+            worker = self.world.add_worker(name, day.service, data_centre_of(name))
+            worker.crash_body = CRASH_BODY
             worker.on_crash = self._crash_by_request
         self.names = [f"entry-{number}" for number in range(day.entries)]
         for name in self.names:
-            self.world.add_entry(name, centre_of(name))
+            self.world.add_entry(name, data_centre_of(name))
 
     async def run(self) -> None:
         await anyio.sleep(SETTLE_SECONDS)
@@ -79,22 +79,28 @@
             callers.start_soon(self._kill_some)
             while self._now() < self.day.seconds:
                 await anyio.sleep(self.rng.expovariate(self.day.rate))
-                alike = self.rng.random() < self.day.alike
-                self.world.requests += 1
-                body = ALIKE if alike else f"body {self.world.requests}".encode()
+                alike = self.rng.random() < self.day.identical_share
+                self.world.request_count += 1
+                body = (
+                    IDENTICAL_BODY
+                    if alike
+                    else f"body {self.world.request_count}".encode()
+                )
                 kept = self.tally.alike if alike else self.tally.statuses
                 callers.start_soon(self._ask, body, kept, 1)
         books = [entry.crashes for entry in self.world.entries.values()]
-        self.tally.shut_out = len({digest for book in books for digest in book.blocked})
+        self.tally.blocked_requests = len(
+            {digest for book in books for digest in book.blocked}
+        )
 
     def _now(self) -> float:
         return anyio.current_time() - self.start
 
     async def _ask_crashing(self, callers: TaskGroup) -> None:
-        while self._now() + self.day.every < self.day.seconds:
-            await anyio.sleep(self.day.every)
+        while self._now() + self.day.crash_interval < self.day.seconds:
+            await anyio.sleep(self.day.crash_interval)
             callers.start_soon(
-                self._ask, CRASHING, self.tally.answers, self.day.repeats
+                self._ask, CRASH_BODY, self.tally.answers, self.day.retries
             )
 
     async def _ask(self, body: bytes, kept: Counter[int], repeats: int) -> None:
@@ -105,16 +111,18 @@
             if status == 200 or unsafe or not left:
                 kept[status] += 1
                 return
-            await anyio.sleep(min(pause, BUDGET / 3) if self.day.honours else 0.01)
+            await anyio.sleep(
+                min(pause, BUDGET / 3) if self.day.honours_retry_after else 0.01
+            )
 
     async def _ask_once(self, body: bytes) -> tuple[int, float]:
         size = {"x-token-count": "800,100"} if self.day.service == MODEL else {}
         entry = self.rng.choice(self.names)
         try:
-            reply = await self.world.ask(entry, "/ask/1", size, body=body)
+            reply = await self.world.call(entry, "/ask/1", size, body=body)
         except ChannelError:
             return 0, 0.1
-        if not reply.whole:
+        if not reply.complete:
             return 0, 0.1
         return reply.status, float(reply.headers.get("retry-after", "0.1"))
 
@@ -138,7 +146,7 @@
             for other in self.world.workers.values():
                 other.stalled_until = anyio.current_time() + STALL_SECONDS
                 other.broken_by = address
-        await anyio.sleep(self.day.down)
+        await anyio.sleep(self.day.down_seconds)
         self.world.network.listen(address, site, worker.app)
         self.down.discard(worker.name)
         if not self.down:
@@ -146,16 +154,18 @@
                 other.broken_by = ""
 
     async def _kill_some(self) -> None:
-        while self.day.kills and self._now() < self.day.seconds:
+        while self.day.crashes_per_second and self._now() < self.day.seconds:
             await anyio.sleep(1.0)
             up = [w for w in self.world.workers.values() if w.name not in self.down]
-            for worker in self.rng.sample(up, min(self.day.kills, max(len(up) - 1, 0))):
+            for worker in self.rng.sample(
+                up, min(self.day.crashes_per_second, max(len(up) - 1, 0))
+            ):
                 self._crash(worker)
 
 
-def play_crashes(day: CrashDay) -> CrashTally:
+def simulate_crashes(day: CrashScenario) -> CrashResults:
     """Play a day and return what the targets and callers got."""
-    tallies: list[CrashTally] = []
+    tallies: list[CrashResults] = []
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
--- a/packages/standins/src/briarthread_standins/deployment.py
+++ b/packages/standins/src/briarthread_standins/deployment.py
@@ -11,8 +11,8 @@
 
 from briarthread_common.messages.instance import Instance, InstanceRole
 
-START_SECONDS = 30.0
-STOP_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +64,7 @@
             for service, module in self.services.items():
                 for number in range(self.targets):
                     self.start_target(data_centre, service, module, number)
-        self.list_instances()
+        self.put_instances()
 
     def start_entry(self, data_centre: str, number: int) -> Process:
         """Start one entry."""
@@ -96,22 +96,22 @@
         self._note(Instance(name, data_centre, address, InstanceRole.TARGET, service))
         return self._start(name, address, ["briarthread-agent", str(settings)])
 
-    def list_instances(self) -> None:
+    def put_instances(self) -> None:
         """Put all instances on the platform's list."""
         rows = [asdict(row) for row in self.instances]
         self.post(self.platform, "/standin/instances", {"put": rows})
 
     def apply(self, text: Path) -> None:
         """Apply a services text with the operator's command."""
-        command = [*program("briarthread"), "apply", f"--platform={self.platform}"]
+        command = [*executable("briarthread"), "apply", f"--platform={self.platform}"]
         subprocess.run([*command, "--by=demo", str(text)], check=True)
 
-    def wait_ready(self) -> None:
+    def wait_until_ready(self) -> None:
         """Wait until every entry and agent is ready."""
         for row in self.instances:
             wait_until(lambda row=row: self._is_ready(row.address), row.name)
 
-    def wait_shares(self, services: list[str], shares: int) -> None:
+    def wait_for_shares(self, services: list[str], shares: int) -> None:
         """
         Wait until every share of some services has a holder, and all know it.
 
@@ -140,11 +140,11 @@
                 self.processes[name].handle.terminate()
         for name in names:
             if name != "platform" and not name.startswith("target-"):
-                self.processes[name].handle.wait(STOP_SECONDS)
+                self.processes[name].handle.wait(STOP_TIMEOUT_SECONDS)
         for process in self.processes.values():
             process.handle.terminate()
         for process in self.processes.values():
-            process.handle.wait(STOP_SECONDS)
+            process.handle.wait(STOP_TIMEOUT_SECONDS)
 
     def exit_codes(self) -> dict[str, int | None]:
         """Return how each entry and agent exited."""
@@ -201,7 +201,7 @@
         return address
 
     def _start(self, name: str, address: str, command: list[str]) -> Process:
-        full = [*program(command[0]), *command[1:]]
+        full = [*executable(command[0]), *command[1:]]
         log = (self.folder / f"{name}.log").open("ab")
         handle = subprocess.Popen(full, stderr=log, stdout=log)
         process = Process(name, address, handle)
@@ -215,7 +215,7 @@
             return False
 
 
-def program(name: str) -> list[str]:
+def executable(name: str) -> list[str]:
     """Return the command of a binary installed beside this Python."""
     path = Path(sys.executable).parent / name
     return [str(path)] if path.exists() else [name]
@@ -223,7 +223,7 @@
 
 def wait_until(condition: object, what: str) -> None:
     """Wait until a condition holds or raise TimeoutError naming it."""
-    end = time.monotonic() + START_SECONDS
+    end = time.monotonic() + START_TIMEOUT_SECONDS
     while time.monotonic() < end:
         try:
             if condition():
--- a/packages/standins/src/briarthread_standins/direct_agents.py
+++ b/packages/standins/src/briarthread_standins/direct_agents.py
@@ -12,7 +12,7 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_platform.adapter import ADAPTER
 from briarthread_standins.direct_group import DirectGroup
-from briarthread_standins.direct_world import STORE, DirectWorld
+from briarthread_standins.direct_world import STORE_ADDRESS, DirectWorld
 
 SERVICE = "model"
 
@@ -78,7 +78,7 @@
         left.ranks.remove(rank)
         to.ranks.append(rank)
         for group in (left, to):
-            group.form_anew()
+            group.reform()
             for place, member in enumerate(group.ranks):
                 self._listen(self.members.index(member), group, place)
 
@@ -102,7 +102,7 @@
             drain_timeout=1.0,
             target=self.engine_address(number),
             adapter="briarthread_platform.adapter",
-            store=STORE,
+            store=STORE_ADDRESS,
             spread=ReplicationOptions(name, "palermo", ("10.1.0.1:9",), 4.0, 2.0),
             log_level="INFO",
             log_json=False,
--- a/packages/standins/src/briarthread_standins/direct_group.py
+++ b/packages/standins/src/briarthread_standins/direct_group.py
@@ -9,10 +9,10 @@
 from briarthread_common.messages.expert_map import even_map
 from briarthread_standins.direct_rank import DirectRank
 
-MAX_BODY = 4 * 1024 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 COPY_SECONDS = 0.2
 PASS_SECONDS = 0.06
-PICKS = 400
+SELECTIONS_PER_PASS = 400
 """Choices of experts that each rank counts in a pass, in each set."""
 
 
@@ -22,8 +22,8 @@
 
     ``violations`` collects each pass that began otherwise. Orders are taken
     from anyone. ``unanswered`` counts orders that stay without an answer and
-    are carried out ``late`` seconds on, ``unanswered_of`` those of one kind and
-    ``lost_share`` the share of all of them;
+    are carried out ``late`` seconds on, ``unanswered_by_kind`` those of one kind and
+    ``unanswered_share`` the share of all of them;
     ``held_seconds`` sums up how long the group waited for a held pass.
     """
 
@@ -39,13 +39,13 @@
         self.serving = True
         self.demand = [[1.0] * experts for _ in range(sets)]
         self.violations: list[str] = []
-        self.unanswered = 0
-        self.unanswered_of: dict[str, int] = {}
-        self.lost_share = 0.0
-        self.late = 2.0
+        self.unanswered_orders = 0
+        self.unanswered_by_kind: dict[str, int] = {}
+        self.unanswered_share = 0.0
+        self.late_seconds = 2.0
         self.rng = random.Random(5)
         self.held_seconds = 0.0
-        self.longest_hold = 0.0
+        self.longest_hold_seconds = 0.0
         self.orders: list[str] = []
         counts = [0] * sets * experts
         self.ranks = [DirectRank(r, [], counts=list(counts)) for r in range(ranks)]
@@ -60,7 +60,7 @@
 
         async def picked(call: Call) -> None:
             if "lists" in call.query:
-                lists = {"version": rank.map_version, "experts": rank.placed}
+                lists = {"version": rank.map_version, "experts": rank.experts_by_set}
                 await call.reply_json({"epoch": self.epoch, "map": lists})
                 return
             counts = {"step": self.step, "epoch": self.epoch, "counts": rank.counts}
@@ -86,11 +86,11 @@
                 await anyio.sleep(0.01)
                 waited += 0.01
                 self.held_seconds += 0.01
-                self.longest_hold = max(self.longest_hold, waited)
+                self.longest_hold_seconds = max(self.longest_hold_seconds, waited)
             if self.serving:
                 self._begin_pass()
 
-    def form_anew(self) -> None:
+    def reform(self) -> None:
         """Break the group and form it in a new epoch, with the first map."""
         self.epoch += 1
         self._place_evenly()
@@ -99,9 +99,9 @@
         layer = even_map(0, 1, self.experts, len(self.ranks)).layers[0]
         for number, rank in enumerate(self.ranks):
             rank.number = number
-            rank.form_anew([layer[number] for _ in range(self.sets)])
+            rank.reset([layer[number] for _ in range(self.sets)])
 
-    def work(self, number: int) -> float:
+    def relative_load(self, number: int) -> float:
         """Return a rank's work with experts over that of an even share."""
         mine = even = 0.0
         for layer in range(self.sets):
@@ -123,10 +123,10 @@
         demand = self.demand[layer]
         replicas = [0] * self.experts
         for rank in self.ranks:
-            for expert in rank.placed[layer]:
+            for expert in rank.experts_by_set[layer]:
                 replicas[expert] += 1
         return [
-            sum(demand[e] / replicas[e] for e in rank.placed[layer])
+            sum(demand[e] / replicas[e] for e in rank.experts_by_set[layer])
             for rank in self.ranks
         ]
 
@@ -145,7 +145,7 @@
             total = sum(demand)
             for expert, share in enumerate(demand):
                 rank.counts[number * self.experts + expert] += int(
-                    PICKS * share / total
+                    SELECTIONS_PER_PASS * share / total
                 )
 
     def _report(self, rank: DirectRank) -> dict[str, object]:
@@ -168,21 +168,21 @@
         }
 
     async def _order(self, rank: DirectRank, call: Call) -> None:
-        order = await call.read_json(dict, MAX_BODY)
+        order = await call.read_json(dict, MAX_BODY_BYTES)
         if self._stays_unanswered(order["op"]):
-            await anyio.sleep(self.late)
+            await anyio.sleep(self.late_seconds)
             await self._carry_out(rank, order)
             return
         await call.reply(await self._carry_out(rank, order), b"")
 
     def _stays_unanswered(self, kind: str) -> bool:
-        if self.rng.random() < self.lost_share:
+        if self.rng.random() < self.unanswered_share:
             return True
-        if self.unanswered:
-            self.unanswered -= 1
+        if self.unanswered_orders:
+            self.unanswered_orders -= 1
             return True
-        if self.unanswered_of.get(kind, 0):
-            self.unanswered_of[kind] -= 1
+        if self.unanswered_by_kind.get(kind, 0):
+            self.unanswered_by_kind[kind] -= 1
             return True
         return False
 
--- a/packages/standins/src/briarthread_standins/direct_rank.py
+++ b/packages/standins/src/briarthread_standins/direct_rank.py
@@ -10,14 +10,14 @@
     """
     Hold one rank's map, and what it was ordered to do.
 
-    ``placed`` is its experts by set; ``had`` the highest version it has had.
+    ``experts_by_set`` is its experts by set; ``had`` the highest version it has had.
     Orders tell whether they were taken.
     """
 
     number: int
-    placed: list[list[int]]
+    experts_by_set: list[list[int]]
     map_version: int = 0
-    had: int = 0
+    highest_version: int = 0
     prepared: int | None = None
     prepared_layers: Layers = field(default_factory=list)
     copying: bool = False
@@ -29,12 +29,17 @@
     def prepare(self, version: int, layers: Layers, spare: int) -> int | None:
         """Begin to load a map; return the most experts new in a set, if taken."""
         new = [
-            len(set(layer[self.number]) - set(placed))
-            for layer, placed in zip(layers, self.placed, strict=True)
+            len(set(layer[self.number]) - set(experts))
+            for layer, experts in zip(layers, self.experts_by_set, strict=True)
         ]
-        if version <= self.had or self.armed or self.copying or max(new) > spare:
+        if (
+            version <= self.highest_version
+            or self.armed
+            or self.copying
+            or max(new) > spare
+        ):
             return None
-        self.had = version
+        self.highest_version = version
         self.prepared = None
         self.prepared_layers = layers
         self.copying = True
@@ -42,7 +47,7 @@
 
     def finish_copy(self, version: int) -> None:
         """Have loaded a map, unless another was begun since."""
-        if self.had == version:
+        if self.highest_version == version:
             self.copying = False
             self.prepared = version
 
@@ -69,12 +74,12 @@
         """Switch to the map that the rank is armed for, if this is its pass."""
         if self.armed is not None and self.armed[1] == step:
             self.map_version = self.armed[0]
-            self.placed = [layer[self.number] for layer in self.prepared_layers]
+            self.experts_by_set = [layer[self.number] for layer in self.prepared_layers]
             self.armed = None
 
-    def form_anew(self, placed: list[list[int]]) -> None:
+    def reset(self, experts_by_set: list[list[int]]) -> None:
         """Start over with the first map and nothing ordered."""
-        self.placed = [list(experts) for experts in placed]
+        self.experts_by_set = [list(experts) for experts in experts_by_set]
         self.map_version = 0
         self.prepared, self.armed, self.held = None, None, None
         self.copying = False
--- a/packages/standins/src/briarthread_standins/direct_worker.py
+++ b/packages/standins/src/briarthread_standins/direct_worker.py
@@ -10,8 +10,8 @@
 from briarthread_common.http.call import Call
 from briarthread_standins.refusals import Refusals
 
-MAX_BODY = 1024 * 1024
-STAMP = ("x-server-stamp", "stamp")
+MAX_BODY_BYTES = 1024 * 1024
+STAMP_HEADER = ("x-server-stamp", "stamp")
 Fields = list[tuple[str, str]]
 
 
@@ -20,15 +20,15 @@
 
     REFUSE = "refuse"
     GROUP_BROKEN = "group-broken"
-    OWN_ERROR = "own-error"
-    LOSE_ANSWER = "lose-answer"
-    MUTE = "mute"
-    OTHER_ID = "other-id"
-    NO_ID = "no-id"
+    SERVER_ERROR = "own-error"
+    LOSE_RESPONSE = "lose-answer"
+    NO_RESPONSE = "mute"
+    WRONG_REQUEST_ID = "other-id"
+    NO_REQUEST_ID = "no-id"
     NO_STAMP = "no-stamp"
     ENCODED = "encoded"
     CUT_EVENT = "cut-event"
-    TORN_END = "torn-end"
+    TRUNCATED_END = "torn-end"
 
 
 class DirectWorker:
@@ -36,44 +36,44 @@
     Answer requests, whole or as a stream, and count what ran.
 
     ``faults`` are used up one a request. A stream has ``pieces`` events; one
-    that is cut stops in the middle of the event after ``cut_after``, with a
+    that is cut stops in the middle of the event after ``events_before_cut``, with a
     broken connection or, torn, as if it were complete. A worker that
-    ``rewinds`` repeats an event when a stream is resumed there. ``limit`` is named in
-    every answer while it is set; ``arrivals`` are the times of all requests. A request
-    whose body is ``crashes_on`` calls ``on_crash``. While its group is ``broken_by``
+    ``repeats_last_event`` repeats an event when a stream is resumed there.
+    ``rate_limit`` is named in every answer while it is set; ``arrivals`` are the times of all requests. A request
+    whose body is ``crash_body`` calls ``on_crash``. While its group is ``broken_by``
     another worker it refuses; what runs waits for that and is cut off. ``refusals``
     sets when it answers 503 with Retry-After. ``leaving`` is the value of the
     server-leaving header, which is omitted for ``None``.
     """
 
-    def __init__(self, name: str, pieces: int = 6) -> None:
+    def __init__(self, name: str, event_count: int = 6) -> None:
         self.name = name
-        self.pieces = pieces
+        self.event_count = event_count
         self.delay = 0.02
-        self.event_pause = 0.06
-        self.cut_after = 2
-        self.rewinds = False
-        self.limit: str | None = None
+        self.event_interval = 0.06
+        self.events_before_cut = 2
+        self.repeats_last_event = False
+        self.rate_limit: str | None = None
         self.refusals = Refusals()
         self.leaving: str | None = None
         self.arrivals: list[float] = []
-        self.crashes_on: bytes | None = None
+        self.crash_body: bytes | None = None
         self.on_crash: Callable[[DirectWorker], None] | None = None
         self.broken_by = ""
         self.stalled_until = 0.0
         self.faults: list[WorkerFault] = []
         self.runs: Counter[str] = Counter()
-        self.seen: list[dict[str, str]] = []
-        self.bodies: list[bytes] = []
-        self.working = 0
-        self.broken_off = 0
+        self.received_headers: list[dict[str, str]] = []
+        self.received_bodies: list[bytes] = []
+        self.in_progress = 0
+        self.cancelled_requests = 0
         self.app = App([Route("*", "/", self._handle)])
 
     async def _handle(self, call: Call) -> None:
         headers = call.headers
         self.arrivals.append(anyio.current_time())
-        self.seen.append(headers)
-        self.bodies.append(body := await call.read_body(MAX_BODY))
+        self.received_headers.append(headers)
+        self.received_bodies.append(body := await call.read_body(MAX_BODY_BYTES))
         echoed = self._named(headers)
         if headers.get("x-expect-instance", self.name) != self.name:
             await call.reply(421, b"", [("x-instance-id", self.name), *echoed])
@@ -86,7 +86,7 @@
             retry_after = ("retry-after", self.refusals.retry_after)
             await call.reply(503, b"", [("x-not-executed", "1"), *echoed, retry_after])
             return
-        if self.on_crash is not None and body == self.crashes_on:
+        if self.on_crash is not None and body == self.crash_body:
             self.on_crash(self)
             await anyio.sleep_forever()
         fault = self.faults.pop(0) if self.faults else None
@@ -96,17 +96,17 @@
             await call.reply(503, b"", [("x-not-executed", "1"), *echoed, *more])
             return
         self.runs[headers["x-request-id"]] += 1
-        self.working += 1
+        self.in_progress += 1
         try:
             await self._work(call, headers, fault)
         finally:
-            self.working -= 1
+            self.in_progress -= 1
 
     def _named(self, headers: dict[str, str]) -> Fields:
         """Return what every answer of this worker names."""
         named = [("x-request-id", headers["x-request-id"])]
-        if self.limit is not None:
-            named.append(("server-limit", self.limit))
+        if self.rate_limit is not None:
+            named.append(("server-limit", self.rate_limit))
         if self.leaving is not None:
             named.append(("server-leaving", self.leaving))
         return named
@@ -121,32 +121,34 @@
             await self._answer(call, headers, fault)
             answered = True
             tasks.cancel_scope.cancel()
-        self.broken_off += not answered
+        self.cancelled_requests += not answered
 
     async def _answer(
         self, call: Call, headers: dict[str, str], fault: WorkerFault | None
     ) -> None:
         echoed = self._named(headers)
         match fault:
-            case WorkerFault.OWN_ERROR:
-                await call.reply(500, b"broken", [STAMP, *echoed])
-            case WorkerFault.LOSE_ANSWER:
+            case WorkerFault.SERVER_ERROR:
+                await call.reply(500, b"broken", [STAMP_HEADER, *echoed])
+            case WorkerFault.LOSE_RESPONSE:
                 raise AnswerAborted("lost")
-            case WorkerFault.MUTE:
+            case WorkerFault.NO_RESPONSE:
                 await anyio.sleep_forever()
-            case WorkerFault.OTHER_ID:
-                await call.reply(200, b"other", [STAMP, ("x-request-id", "other")])
-            case WorkerFault.NO_ID:
-                await call.reply(200, b"other", [STAMP])
+            case WorkerFault.WRONG_REQUEST_ID:
+                await call.reply(
+                    200, b"other", [STAMP_HEADER, ("x-request-id", "other")]
+                )
+            case WorkerFault.NO_REQUEST_ID:
+                await call.reply(200, b"other", [STAMP_HEADER])
             case WorkerFault.NO_STAMP:
                 await call.reply(200, b"forged", echoed)
             case WorkerFault.ENCODED:
                 encoded = ("content-encoding", "gzip")
-                await call.reply(200, b"zip", [STAMP, *echoed, encoded])
+                await call.reply(200, b"zip", [STAMP_HEADER, *echoed, encoded])
             case _ if "x-token-count" in headers:
                 await self._stream(call, headers, echoed, fault)
             case _:
-                await call.reply(200, self.name.encode(), [STAMP, *echoed])
+                await call.reply(200, self.name.encode(), [STAMP_HEADER, *echoed])
 
     async def _stream(
         self,
@@ -156,19 +158,27 @@
         fault: WorkerFault | None,
     ) -> None:
         first = int(headers.get("last-event-id", "0")) + 1
-        if self.rewinds:
+        if self.repeats_last_event:
             first = max(first - 1, 1)
-        await call.start(200, [STAMP, *echoed, ("content-type", "text/event-stream")])
-        for number in range(first, self.pieces + 1):
-            await anyio.sleep(self.event_pause)
+        await call.start(
+            200, [STAMP_HEADER, *echoed, ("content-type", "text/event-stream")]
+        )
+        for number in range(first, self.event_count + 1):
+            await anyio.sleep(self.event_interval)
             if self.broken_by:
                 await anyio.sleep(max(self.stalled_until - anyio.current_time(), 0.0))
                 raise AnswerAborted("cut off, a rank of its group is lost")
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
-            if fault is WorkerFault.CUT_EVENT and number - first >= self.cut_after:
+            if (
+                fault is WorkerFault.CUT_EVENT
+                and number - first >= self.events_before_cut
+            ):
                 await call.send_chunk(event[:9])
                 raise AnswerAborted("cut in the middle of an event")
-            if fault is WorkerFault.TORN_END and number - first >= self.cut_after:
+            if (
+                fault is WorkerFault.TRUNCATED_END
+                and number - first >= self.events_before_cut
+            ):
                 await call.send_chunk(event[:9])
                 break
             await call.send_chunk(event)
--- a/packages/standins/src/briarthread_standins/direct_world.py
+++ b/packages/standins/src/briarthread_standins/direct_world.py
@@ -16,22 +16,22 @@
 from briarthread_platform.adapter import ADAPTER
 from briarthread_standins.direct_worker import DirectWorker
 from briarthread_standins.fake_network import FakeNetwork
-from briarthread_standins.users_store import UsersStore
+from briarthread_standins.fake_platform_store import FakePlatformStore
 
-STORE = "10.200.0.1:80"
+STORE_ADDRESS = "10.200.0.1:80"
 DATA_CENTRES = ("palermo", "catania")
 START_SECONDS = 2.0
-CLIENT = "10.250.0.1:1"
+CLIENT_ADDRESS = "10.250.0.1:1"
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class DirectResponse:
     """What a caller got; ``whole`` is off where the answer broke off."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
     @property
     def event_ids(self) -> list[int]:
@@ -49,13 +49,13 @@
     entries: dict[str, DirectEntry] = field(default_factory=dict)
     workers: dict[str, DirectWorker] = field(default_factory=dict)
     addresses: dict[str, str] = field(default_factory=dict)
-    requests: int = 0
+    request_count: int = 0
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.network = FakeNetwork(self.tasks)
-        self.store = UsersStore()
-        self.network.listen(STORE, "store", self.store.app)
+        self.store = FakePlatformStore()
+        self.network.listen(STORE_ADDRESS, "store", self.store.app)
 
     def add_worker(
         self, name: str, service: str, data_centre: str = "palermo", listed: bool = True
@@ -68,10 +68,10 @@
         self.addresses[name] = address
         self.network.listen(address, data_centre, worker.app)
         if listed:
-            self.list_worker(name, service, data_centre)
+            self.register_worker(name, service, data_centre)
         return worker
 
-    def list_worker(
+    def register_worker(
         self,
         name: str,
         service: str,
@@ -102,7 +102,7 @@
             drain_notice=1.0,
             drain_timeout=3.0,
             adapter="briarthread_platform.adapter",
-            store=STORE,
+            store=STORE_ADDRESS,
             allowance=RetryAllowance(0.2, 20.0, 10.0),
             spread=ReplicationOptions(name, data_centre, ("10.1.0.1:9",), 4.0, 2.0),
             log_level="INFO",
@@ -137,7 +137,7 @@
             async with anyio.create_task_group() as tasks:
                 entry.start(tasks)
 
-    async def ask(
+    async def call(
         self,
         entry: str,
         path: str,
@@ -145,13 +145,13 @@
         method: str = "POST",
         body: bytes | None = b"x",
         host: str = "salon.example",
-        give_up: float = 20.0,
-    ) -> Reply:
+        client_timeout: float = 20.0,
+    ) -> DirectResponse:
         """Send a request as a caller and return what came back."""
-        self.requests += 1
+        self.request_count += 1
         fields = {
             "host": host,
-            "x-request-id": f"request-{self.requests}",
+            "x-request-id": f"request-{self.request_count}",
             "x-credential": "key-1",
             "x-deadline-ms": "8000",
             **(headers or {}),
@@ -159,21 +159,21 @@
         if body is not None:
             fields["content-length"] = str(len(body))
         front = self.entries[entry].settings.callers_listen
-        channel = self.network.channel(CLIENT, "clients")
+        channel = self.network.channel(CLIENT_ADDRESS, "clients")
         call = ChannelRequest(method, front, path, tuple(fields.items()), body)
-        with anyio.move_on_after(give_up):
+        with anyio.move_on_after(client_timeout):
             return await _read(channel, call)
-        return Reply(0, {}, b"", whole=False)
+        return DirectResponse(0, {}, b"", complete=False)
 
 
-async def _read(channel: Channel, call: ChannelRequest) -> Reply:
+async def _read(channel: Channel, call: ChannelRequest) -> DirectResponse:
     parts: list[bytes] = []
     async with channel.stream(call) as response:
         try:
             async for chunk in response.body:
                 parts.append(chunk)
         except ChannelError:
-            return Reply(
-                response.status, dict(response.headers), b"".join(parts), whole=False
+            return DirectResponse(
+                response.status, dict(response.headers), b"".join(parts), complete=False
             )
-        return Reply(response.status, dict(response.headers), b"".join(parts))
+        return DirectResponse(response.status, dict(response.headers), b"".join(parts))
--- a/packages/standins/src/briarthread_standins/fake_exchange.py
+++ b/packages/standins/src/briarthread_standins/fake_call.py
@@ -11,7 +11,7 @@
 BODY = "http.response.body"
 
 
-class Exchange:
+class FakeCall:
     """Join the two ends of one call."""
 
     def __init__(self, request: ChannelRequest, caller: str = "") -> None:
--- a/packages/standins/src/briarthread_standins/users_store.py
+++ b/packages/standins/src/briarthread_standins/fake_platform_store.py
@@ -12,7 +12,7 @@
 from briarthread_common.http.call import Call
 
 PAGE_ROWS = 500
-MAX_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 FORBIDDEN_TABLES = ("op", "servers")
 
 
@@ -26,14 +26,15 @@
     ver: int
 
 
-class UsersStore:
+class FakePlatformStore:
     """
     Keep rows with versions from one counter, and a history of changes.
 
     ``refuse`` makes every call be answered with a status, ``silent`` with
-    nothing at all; ``turned_away`` holds the addresses of callers that are
-    refused while others are served. ``lose_writes`` counts writes that are done and not
-    answered, ``late_writes`` those that are done only ``late`` seconds on.
+    nothing at all; ``refused_callers`` holds the addresses of callers that are
+    refused while others are served. ``unanswered_writes`` counts writes that are
+    done and not answered, ``delayed_writes`` those that are done only
+    ``write_delay_seconds`` on.
     ``page`` is how many rows an answer holds.
     """
 
@@ -41,14 +42,14 @@
         self.rows: dict[tuple[str, str], StoredRow] = {}
         self.history: deque[StoredRow] = deque()
         self.ver = 0
-        self.forgotten = 0
-        self.refuse: int | None = None
-        self.silent = False
-        self.turned_away: set[str] = set()
-        self.lose_writes = 0
-        self.late_writes = 0
-        self.late = 2.0
-        self.page = PAGE_ROWS
+        self.discarded_version = 0
+        self.refusal_status: int | None = None
+        self.unresponsive = False
+        self.refused_callers: set[str] = set()
+        self.unanswered_writes = 0
+        self.delayed_writes = 0
+        self.write_delay_seconds = 2.0
+        self.page_size = PAGE_ROWS
         self.calls = 0
         self.changed = anyio.Event()
         self.app = App(
@@ -64,7 +65,7 @@
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self._set(table, key, base64.b64encode(raw).decode())
 
-    def drop(self, table: str, key: str) -> None:
+    def delete(self, table: str, key: str) -> None:
         """Remove a row."""
         self._set(table, key, None)
 
@@ -73,10 +74,10 @@
         row = self.rows.get((table, key))
         return base64.b64decode(row.value) if row and row.value is not None else None
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Discard the history."""
         self.history.clear()
-        self.forgotten = self.ver
+        self.discarded_version = self.ver
         self._wake()
 
     def _set(self, table: str, key: str, value: str | None) -> None:
@@ -98,11 +99,14 @@
         return await self._answers(call)
 
     async def _answers(self, call: Call) -> bool:
-        if self.silent:
+        if self.unresponsive:
             await call.wait_disconnect()
             return False
-        if self.refuse is not None or call.scope["client"][0] in self.turned_away:
-            await call.reply(self.refuse or 503, b"")
+        if (
+            self.refusal_status is not None
+            or call.scope["client"][0] in self.refused_callers
+        ):
+            await call.reply(self.refusal_status or 503, b"")
             return False
         return True
 
@@ -121,7 +125,7 @@
             ),
             key=lambda row: row.key.encode(),
         )
-        await self._reply_rows(call, rows[: self.page], len(rows) > self.page)
+        await self._reply_rows(call, rows[: self.page_size], len(rows) > self.page_size)
 
     async def _handle_feed(self, call: Call) -> None:
         if not await self._admit(call):
@@ -131,14 +135,14 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             with anyio.move_on_after(int(query["waitMs"]) / 1000):
-                while after >= self.forgotten and not self._since(
+                while after >= self.discarded_version and not self._since(
                     query["table"], after
                 ):
                     await self.changed.wait()
             tasks.cancel_scope.cancel()
         if not await self._answers(call):
             return
-        if after < self.forgotten:
+        if after < self.discarded_version:
             await call.reply(410, b"")
             return
         await self._reply_rows(call, self._since(query["table"], after), False)
@@ -146,21 +150,21 @@
     async def _handle_tx(self, call: Call) -> None:
         if not await self._admit(call):
             return
-        change = await call.read_json(dict, MAX_BODY)
+        change = await call.read_json(dict, MAX_BODY_BYTES)
         if any(row["table"] in FORBIDDEN_TABLES for row in change["setKeys"]):
             await call.reply(403, b"")
             return
-        if self.late_writes:
-            self.late_writes -= 1
-            await anyio.sleep(self.late)
+        if self.delayed_writes:
+            self.delayed_writes -= 1
+            await anyio.sleep(self.write_delay_seconds)
             self._apply(change)
             return
         if not self._holds(change):
             await call.reply(412, b'{"rows":[]}')
             return
         self._apply(change)
-        if self.lose_writes:
-            self.lose_writes -= 1
+        if self.unanswered_writes:
+            self.unanswered_writes -= 1
             await call.wait_disconnect()
             return
         await call.reply_json({"ver": self.ver, "nowMs": self._now()})
--- a/packages/standins/src/briarthread_standins/limit_tally.py
+++ b/packages/standins/src/briarthread_standins/limit_results.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class LimitTally:
+class LimitResults:
     """
     Hold the times of arrivals at each target, and what callers got.
 
@@ -21,11 +21,13 @@
     arrivals: list[list[float]] = field(default_factory=list)
     refusals: list[Refusals] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
-    waits: list[float] = field(default_factory=list)
+    retry_after_seconds: list[float] = field(default_factory=list)
     slowest_refusal: float = 0.0
     bytes_sent: int = 0
 
-    def most(self, target: int, since: float, until: float = float("inf")) -> int:
+    def max_arrivals(
+        self, target: int, since: float, until: float = float("inf")
+    ) -> int:
         """Return the most arrivals of a target in any window between two times."""
         times = [at for at in sorted(self.arrivals[target]) if since <= at < until]
         return max(
@@ -40,17 +42,17 @@
         """Return the most requests that an entry sent to a target within a backoff."""
         return max(refusals.max_early_requests() for refusals in self.refusals)
 
-    def a_second(self, target: int, since: float, until: float) -> float:
+    def arrivals_per_second(self, target: int, since: float, until: float) -> float:
         """Return what a target got a second between two times."""
         got = sum(since <= at < until for at in self.arrivals[target])
         return got / (until - since)
 
 
-def allowed(limit: float) -> float:
+def max_allowed_arrivals(limit: float) -> float:
     """
     Return how many requests a target that names a limit may get in a window.
 
-    >>> allowed(1.0), allowed(2.5)
+    >>> max_allowed_arrivals(1.0), max_allowed_arrivals(2.5)
     (11.0, 20.0)
     """
     return 1.5 * limit * WINDOW_SECONDS + 5
--- a/packages/standins/src/briarthread_standins/limit_day.py
+++ b/packages/standins/src/briarthread_standins/limit_scenario.py
@@ -32,13 +32,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LimitDay:
+class LimitScenario:
     """
     Describe a load; times are in seconds from its start.
 
     ``rate`` requests a second come to ``entries`` in three data centres, the first
-    entry getting ``favoured`` of them and the others even parts. ``trouble_at`` is
-    when one entry is killed and started again a second later (``restarted``), or cut
+    entry getting ``first_entry_share`` of them and the others even parts. ``fault_at``
+    is when one entry is killed and started again a second later (``restarted``), or cut
     off from all others for four seconds (``cut_off``): the first of those that are
     asked for room at the first target.
     """
@@ -49,8 +49,8 @@
     rate: float = 28.0
     seconds: float = 24.0
     steps: tuple[Step, ...] = (LimitStep(3.0, "1"),)
-    favoured: float = 0.3
-    trouble_at: float = 0.0
+    first_entry_share: float = 0.3
+    fault_at: float = 0.0
     restarted: bool = False
     cut_off: bool = False
     seed: int = 1
--- a/packages/standins/src/briarthread_standins/load_day.py
+++ b/packages/standins/src/briarthread_standins/load_scenario.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadDay:
+class LoadScenario:
     """
     Describe a load; times are in seconds.
 
@@ -18,15 +18,15 @@
 
     rate: float
     seconds: float = 12.0
-    burst: float = 1.0
+    burst_factor: float = 1.0
     burst_seconds: float = 2.0
     outage_at: float = 4.0
     outage_seconds: float = 0.0
     ranks: int = 6
-    fixed: float = 0.029
-    each: float = 0.0021
-    events: int = 20
+    fixed_seconds: float = 0.029
+    request_cost: float = 0.0021
+    events_per_stream: int = 20
     groups: int = 1
-    slow: float = 1.0
-    told: bool = True
+    slow_factor: float = 1.0
+    membership_reported: bool = True
     seed: int = 7
--- a/packages/standins/src/briarthread_standins/play_load.py
+++ b/packages/standins/src/briarthread_standins/load_simulation.py
@@ -16,10 +16,10 @@
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_common.utils.host_of import host_of
 from briarthread_entry.direct.direct_entry import DirectEntry
-from briarthread_standins.caller_tally import CallerTally
+from briarthread_standins.caller_results import CallerResults
 from briarthread_standins.direct_config import MODEL, build_config, build_engine_row
-from briarthread_standins.direct_world import CLIENT, DirectWorld
-from briarthread_standins.load_day import LoadDay
+from briarthread_standins.direct_world import CLIENT_ADDRESS, DirectWorld
+from briarthread_standins.load_scenario import LoadScenario
 from briarthread_standins.loaded_group import LoadedGroup
 from briarthread_standins.virtual_time import run_virtual
 
@@ -35,9 +35,11 @@
 Prepare = Callable[[DirectEntry], None]
 
 
-def play_load(day: LoadDay, prepare: Prepare = lambda _: None) -> CallerTally:
+def simulate_load(
+    day: LoadScenario, prepare: Prepare = lambda _: None
+) -> CallerResults:
     """Play a day and return what callers got; ``prepare`` may change entries."""
-    tally = CallerTally()
+    tally = CallerResults()
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -45,8 +47,8 @@
             group = _start_groups(world, tasks, day)
             for name in ENTRIES:
                 prepare(world.add_entry(name))
-            if day.told and day.groups > 1:
-                await list_groups(world, day.groups, day.ranks)
+            if day.membership_reported and day.groups > 1:
+                await register_groups(world, day.groups, day.ranks)
             await anyio.sleep(SETTLE_SECONDS)
             if day.outage_seconds:
                 tasks.start_soon(_break_for_a_while, group, day)
@@ -58,14 +60,21 @@
     return tally
 
 
-def _start_groups(world: DirectWorld, tasks: TaskGroup, day: LoadDay) -> LoadedGroup:
+def _start_groups(
+    world: DirectWorld, tasks: TaskGroup, day: LoadScenario
+) -> LoadedGroup:
     """Start the groups, with the ranks dealt out in turn; return the first."""
     size = day.ranks // day.groups
-    groups = [LoadedGroup(size, events=day.events) for _ in range(day.groups)]
+    groups = [
+        LoadedGroup(size, events=day.events_per_stream) for _ in range(day.groups)
+    ]
     for group in groups:
-        group.fixed, group.each = day.fixed, day.each
+        group.fixed_seconds, group.request_cost = day.fixed_seconds, day.request_cost
         tasks.start_soon(group.run)
-    groups[-1].fixed, groups[-1].each = day.fixed * day.slow, day.each * day.slow
+    groups[-1].fixed_seconds, groups[-1].request_cost = (
+        day.fixed_seconds * day.slow_factor,
+        day.request_cost * day.slow_factor,
+    )
     engine = {"name": MODEL, "engine": build_engine_row()}
     world.store.put("op", "config", build_config(services=[engine]))
     for number in range(size * day.groups):
@@ -76,7 +85,7 @@
     return groups[0]
 
 
-async def list_groups(world: DirectWorld, groups: int, ranks: int) -> None:
+async def register_groups(world: DirectWorld, groups: int, ranks: int) -> None:
     """List an agent beside each rank, with its group."""
     store = next(iter(world.entries.values())).store
     for number in range(ranks):
@@ -92,7 +101,7 @@
         await store.register_instance(row)
 
 
-async def _break_for_a_while(group: LoadedGroup, day: LoadDay) -> None:
+async def _break_for_a_while(group: LoadedGroup, day: LoadScenario) -> None:
     await anyio.sleep(day.outage_at)
     group.broken = True
     await anyio.sleep(day.outage_seconds)
@@ -100,20 +109,20 @@
 
 
 async def _arrive(
-    world: DirectWorld, callers: TaskGroup, day: LoadDay, tally: CallerTally
+    world: DirectWorld, callers: TaskGroup, day: LoadScenario, tally: CallerResults
 ) -> None:
     rng = random.Random(day.seed)
     start = anyio.current_time()
     while (passed := anyio.current_time() - start) < day.seconds:
-        now = day.rate * day.burst if passed < day.burst_seconds else day.rate
+        now = day.rate * day.burst_factor if passed < day.burst_seconds else day.rate
         await anyio.sleep(rng.expovariate(now))
         entry = rng.choices(ENTRIES, UNEVEN)[0]
-        tally.asked += 1
+        tally.requests += 1
         callers.start_soon(_be_served, world, entry, rng, tally)
 
 
 async def _be_served(
-    world: DirectWorld, entry: str, rng: random.Random, tally: CallerTally
+    world: DirectWorld, entry: str, rng: random.Random, tally: CallerResults
 ) -> None:
     """Ask, come back once when refused, and note what came of it."""
     started = anyio.current_time()
@@ -128,20 +137,20 @@
 
 
 async def _ask(
-    world: DirectWorld, entry: str, started: float, now: float, tally: CallerTally
+    world: DirectWorld, entry: str, started: float, now: float, tally: CallerResults
 ) -> float | None:
     """Return the pause that a refused caller is told, ``None`` otherwise."""
-    world.requests += 1
+    world.request_count += 1
     fields = (
         ("host", "salon.example"),
-        ("x-request-id", f"request-{world.requests}"),
+        ("x-request-id", f"request-{world.request_count}"),
         ("x-credential", "key-1"),
         ("x-deadline-ms", str(int((started + BUDGET - now) * 1000))),
         ("x-token-count", "800,100"),
     )
     front = world.entries[entry].settings.callers_listen
     call = ChannelRequest("POST", front, "/chat/1", fields, None)
-    channel = world.network.channel(CLIENT, "clients")
+    channel = world.network.channel(CLIENT_ADDRESS, "clients")
     events: list[float] = []
     try:
         with anyio.move_on_after(GIVE_UP) as patience:
--- a/packages/standins/src/briarthread_standins/loaded_group.py
+++ b/packages/standins/src/briarthread_standins/loaded_group.py
@@ -8,9 +8,9 @@
 from briarthread_common.http.app import App, Route
 from briarthread_common.http.call import Call
 
-MAX_BODY = 1024 * 1024
+MAX_BODY_BYTES = 1024 * 1024
 IDLE_SECONDS = 0.005
-STAMP = ("x-server-stamp", "stamp")
+STAMP_HEADER = ("x-server-stamp", "stamp")
 
 
 @dataclass(eq=False)
@@ -25,7 +25,7 @@
 
 class LoadedGroup:
     """
-    Make passes of ``fixed`` seconds and ``each`` for every running stream.
+    Make passes of ``fixed_seconds`` seconds and ``each`` for every running stream.
 
     Each rank runs ``slots`` streams and queues the rest. ``broken`` makes all
     ranks refuse, as a group does that has lost a rank.
@@ -35,13 +35,13 @@
         self,
         ranks: int = 6,
         slots: int = 6,
-        fixed: float = 0.029,
-        each: float = 0.0021,
+        fixed_seconds: float = 0.029,
+        request_cost: float = 0.0021,
         events: int = 20,
     ) -> None:
         self.slots = slots
-        self.fixed = fixed
-        self.each = each
+        self.fixed_seconds = fixed_seconds
+        self.request_cost = request_cost
         self.events = events
         self.broken = False
         self.running: list[list[Generation]] = [[] for _ in range(ranks)]
@@ -65,7 +65,11 @@
                     rank.append(queue.popleft())
             total = sum(len(rank) for rank in self.running)
             self.most_running = max(self.most_running, total)
-            await anyio.sleep(self.fixed + self.each * total if total else IDLE_SECONDS)
+            await anyio.sleep(
+                self.fixed_seconds + self.request_cost * total
+                if total
+                else IDLE_SECONDS
+            )
             for rank in self.running:
                 for generation in rank:
                     generation.made += 1
@@ -74,7 +78,7 @@
 
     async def _generate(self, number: int, call: Call) -> None:
         headers = call.headers
-        await call.read_body(MAX_BODY)
+        await call.read_body(MAX_BODY_BYTES)
         if self.broken:
             refusal = [
                 ("x-not-executed", "1"),
@@ -94,7 +98,7 @@
             tasks.cancel_scope.cancel()
 
     async def _send(self, call: Call, request: str, generation: Generation) -> None:
-        await call.start(200, [STAMP, ("x-request-id", request)])
+        await call.start(200, [STAMP_HEADER, ("x-request-id", request)])
         sent = 0
         while sent < generation.events:
             await generation.ready.wait()
--- a/packages/standins/src/briarthread_standins/plain_service.py
+++ b/packages/standins/src/briarthread_standins/plain_service.py
@@ -20,7 +20,7 @@
 Options:
   --delay=SECONDS  Time that each call takes [default: 0.005].
 """
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class PlainService:
@@ -46,7 +46,7 @@
         )
 
     async def _handle_call(self, call: Call) -> None:
-        body = await call.read_body(LIMIT)
+        body = await call.read_body(MAX_BODY_BYTES)
         if self.refusals.record_arrival(call.scope["client"][0]):
             await call.reply(503, b"", [("retry-after", self.refusals.retry_after)])
             return
--- a/packages/standins/src/briarthread_standins/platform_app.py
+++ b/packages/standins/src/briarthread_standins/platform_app.py
@@ -18,7 +18,7 @@
 Usage:
   platform_app LISTEN
 """
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,14 +54,14 @@
         )
 
     async def _handle_read(self, call: Call) -> None:
-        keys = await call.read_json(list[str], LIMIT)
+        keys = await call.read_json(list[str], MAX_BODY_BYTES)
         await self._fail_if_told()
         self.state.reads += len(keys)
         rows = [self.state.rows[key] for key in keys if key in self.state.rows]
         await call.reply_json(ReadAnswer(rows))
 
     async def _handle_transaction(self, call: Call) -> None:
-        transaction = await call.read_json(Transaction, LIMIT)
+        transaction = await call.read_json(Transaction, MAX_BODY_BYTES)
         await self._fail_if_told()
         answer = self.state.commit(transaction)
         if self.state.mode is PlatformMode.LOST:
@@ -69,22 +69,22 @@
         await call.reply_json(answer)
 
     async def _handle_instances(self, call: Call) -> None:
-        number = await call.read_json(int, LIMIT)
+        number = await call.read_json(int, MAX_BODY_BYTES)
         await self._fail_if_told()
         await call.reply_json(self.state.instances.since(number))
 
     async def _handle_switch(self, call: Call) -> None:
-        switch = await call.read_json(Switch, LIMIT)
+        switch = await call.read_json(Switch, MAX_BODY_BYTES)
         self.state.mode = switch.mode
         self.state.delay = switch.delay
         await call.reply_json(True)
 
     async def _handle_list_change(self, call: Call) -> None:
-        change = await call.read_json(ListChange, LIMIT)
+        change = await call.read_json(ListChange, MAX_BODY_BYTES)
         if change.put:
-            self.state.list_instances(change.put)
+            self.state.put_instances(change.put)
         if change.remove:
-            self.state.unlist(change.remove)
+            self.state.remove_instances(change.remove)
         await call.reply_json(self.state.instances.number)
 
     async def _handle_counts(self, call: Call) -> None:
--- a/packages/standins/src/briarthread_standins/platform_state.py
+++ b/packages/standins/src/briarthread_standins/platform_state.py
@@ -63,11 +63,11 @@
         row = self.rows.get(key)
         return row.version if row else ABSENT
 
-    def list_instances(self, instances: list[Instance]) -> None:
+    def put_instances(self, instances: list[Instance]) -> None:
         """Put instances on the list, or change how they are listed."""
         self._change({row.name: _encode(row) for row in instances})
 
-    def unlist(self, names: list[str]) -> None:
+    def remove_instances(self, names: list[str]) -> None:
         """Take instances off the list."""
         self._change(dict.fromkeys(names))
 
--- a/packages/standins/src/briarthread_standins/rank_group.py
+++ b/packages/standins/src/briarthread_standins/rank_group.py
@@ -17,7 +17,7 @@
 from briarthread_common.messages.expert_map import FIRST_MAP, ExpertMap, even_map
 from briarthread_common.messages.map_report import ENGINE_REPORT_PATH, MapReport
 
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 STAGE_SECONDS = 0.05
 
 
@@ -41,7 +41,7 @@
         self.fencing = fencing
         self.maps = {FIRST_MAP: first_map or even_map(FIRST_MAP, 1, 1, 1)}
         self.counts: list[list[int]] = []
-        self.token = (0, 0)
+        self.fencing_token = (0, 0)
         self.alive = True
         self.step = 0
         self.version = 0
@@ -59,7 +59,7 @@
 
     def restart(self) -> None:
         """Lose everything, as a replaced rank does; the step is the group's."""
-        self.token = (0, 0)
+        self.fencing_token = (0, 0)
         self.version = self.staged = self.scheduled = 0
         self.hold_for = self.hold_step = 0
 
@@ -91,12 +91,12 @@
             self.version = self.scheduled
             self.scheduled = self.hold_for = self.hold_step = 0
 
-    async def take(self, order: EngineOrder) -> OrderAnswer:
+    async def apply_order(self, order: EngineOrder) -> OrderAnswer:
         """Carry an order out."""
         token = (order.epoch, order.fence)
-        if self.fencing and token < self.token:
+        if self.fencing and token < self.fencing_token:
             return OrderAnswer(False, self.state(), "old fencing number")
-        self.token = max(self.token, token)
+        self.fencing_token = max(self.fencing_token, token)
         reason = await self._carry_out(order)
         return OrderAnswer(not reason, self.state(), reason)
 
@@ -143,8 +143,8 @@
         return ""
 
     async def _handle_order(self, call: Call) -> None:
-        order = await call.read_json(EngineOrder, LIMIT)
-        await call.reply_json(await self.take(order))
+        order = await call.read_json(EngineOrder, MAX_BODY_BYTES)
+        await call.reply_json(await self.apply_order(order))
 
     async def _handle_report(self, call: Call) -> None:
         await call.reply_json(MapReport(self.maps[self.version], self.counts))
--- a/packages/standins/src/briarthread_standins/stream_engine.py
+++ b/packages/standins/src/briarthread_standins/stream_engine.py
@@ -19,11 +19,11 @@
 Options:
   --step=SECONDS  Time of one step [default: 0.006].
 """
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Generate:
+class GenerateRequest:
     """Ask for a number of tokens."""
 
     tokens: int
@@ -50,7 +50,7 @@
         )
 
     async def _handle_generate(self, call: Call) -> None:
-        message = await call.read_json(Generate, LIMIT)
+        message = await call.read_json(GenerateRequest, MAX_BODY_BYTES)
         await call.start(200, [("content-type", "text/event-stream")])
         self.batch += 1
         finished = False
--- a/packages/standins/src/briarthread_standins/world.py
+++ b/packages/standins/src/briarthread_standins/world.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class CallerResponse:
     """Hold what a caller got."""
 
     status: int
@@ -52,7 +52,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Member:
+class RunningProcess:
     """Hold one running process of the deployment."""
 
     instance: Instance
@@ -76,7 +76,7 @@
         self.network = FakeNetwork(tasks)
         self.platform = PlatformApp()
         self.network.listen(PLATFORM_ADDRESS, PLATFORM_SITE, self.platform.app)
-        self.members: dict[str, Member] = {}
+        self.processes: dict[str, RunningProcess] = {}
         self.services: dict[str, PlainService] = {}
         self.instances: dict[str, Instance] = {}
         self.hosts = 0
@@ -111,7 +111,7 @@
         group = RankGroup(engines)
         for name, engine in zip(names, engines, strict=True):
             self.network.listen(
-                f"target-{name}", f"slot-{name}", engine.app, takes_late=False
+                f"target-{name}", f"slot-{name}", engine.app, accepts_late_calls=False
             )
             address = self._next_address()
             self._add(
@@ -132,14 +132,14 @@
 
     def kill(self, name: str) -> None:
         """Kill a process at once."""
-        member = self.members.pop(name, None)
+        member = self.processes.pop(name, None)
         if member is not None:
             self.network.close(member.instance.address)
             member.scope.cancel()
 
     async def stop(self, name: str) -> None:
         """Stop a process gracefully."""
-        member = self.members[name]
+        member = self.processes[name]
         await member.part.drain()
         await self._wait_calls(member.instance.address)
         self.kill(name)
@@ -155,7 +155,7 @@
             row.service,
             InstanceState.LEAVING,
         )
-        self.platform.state.list_instances([leaving])
+        self.platform.state.put_instances([leaving])
 
     async def apply(self, text: str, base: int = 0) -> ApplyResult:
         """Apply a services text as an operator would."""
@@ -173,7 +173,7 @@
         body: bytes = b"",
         timeout: float | None = None,
         method: str = "POST",
-    ) -> Answer:
+    ) -> CallerResponse:
         """Send a caller's request through an entry and return its answer."""
         headers = [("authorization", f"Bearer {account_key}")]
         if key is not None:
@@ -190,22 +190,24 @@
         channel = self.network.channel("caller", CALLER_SITE)
         async with channel.stream(request) as response:
             parts = [chunk async for chunk in response.body]
-            return Answer(response.status, dict(response.headers), b"".join(parts))
+            return CallerResponse(
+                response.status, dict(response.headers), b"".join(parts)
+            )
 
-    def runs(self, body: str) -> int:
+    def run_count(self, body: str) -> int:
         """Return how often a body ran over all targets."""
         return sum(service.runs[body] for service in self.services.values())
 
     def agent(self, name: str) -> Agent:
         """Return the running agent of a target."""
-        part = self.members[name].part
+        part = self.processes[name].part
         if not isinstance(part, Agent):
             raise TypeError(f"{name} is no agent")
         return part
 
     def entry(self, name: str) -> Entry:
         """Return a running entry."""
-        part = self.members[name].part
+        part = self.processes[name].part
         if not isinstance(part, Entry):
             raise TypeError(f"{name} is no entry")
         return part
@@ -214,7 +216,7 @@
         """Return the text version in force in each running process."""
         return {
             name: member.part.text.current().number
-            for name, member in self.members.items()
+            for name, member in self.processes.items()
         }
 
     async def _run_entry(
@@ -249,7 +251,7 @@
         scope: anyio.CancelScope,
     ) -> None:
         self.network.listen(instance.address, instance.data_centre, app)
-        self.members[instance.name] = Member(instance, part, scope)
+        self.processes[instance.name] = RunningProcess(instance, part, scope)
 
     def _shared_settings(self, instance: Instance) -> dict[str, object]:
         return {
@@ -273,7 +275,7 @@
 
     def _add(self, instance: Instance) -> Instance:
         self.instances[instance.name] = instance
-        self.platform.state.list_instances([instance])
+        self.platform.state.put_instances([instance])
         self.start(instance.name)
         return instance
 
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -114,7 +114,7 @@
     return world
 
 
-def in_world(
+def run_in_world(
     scenario: Callable[[World], Awaitable[T]],
     text: str | None = None,
     **options: object,
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -2,15 +2,15 @@
 
 import anyio
 import pytest
-from direct_builders import DIARY, build_config, build_route_row, in_direct_world
+from direct_builders import DIARY, build_config, build_route_row, run_in_direct_world
 
 from briarthread_standins.direct_worker import WorkerFault
 from briarthread_standins.direct_world import DirectWorld
 
 INVALID_RESPONSES = [
-    WorkerFault.LOSE_ANSWER,
-    WorkerFault.OTHER_ID,
-    WorkerFault.NO_ID,
+    WorkerFault.LOSE_RESPONSE,
+    WorkerFault.WRONG_REQUEST_ID,
+    WorkerFault.NO_REQUEST_ID,
     WorkerFault.NO_STAMP,
     WorkerFault.ENCODED,
 ]
@@ -27,19 +27,21 @@
 
 def test_response_of_the_target_is_forwarded_unchanged() -> None:
     async def scenario(world: DirectWorld) -> None:
-        reply = await world.ask("entry-1", "/book/1?day=2")
+        reply = await world.call("entry-1", "/book/1?day=2")
         assert (reply.status, reply.headers["x-server-stamp"]) == (200, "stamp")
         assert reply.body.decode() in world.workers
         assert count_runs(world) == 1
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_target_receives_account_and_time_left_but_not_the_key() -> None:
     async def scenario(world: DirectWorld) -> None:
-        await world.ask("entry-1", "/book/1", {"x-tenant": "forged", "te": "trailers"})
+        await world.call("entry-1", "/book/1", {"x-tenant": "forged", "te": "trailers"})
         headers = next(
-            worker.seen[0] for worker in world.workers.values() if worker.seen
+            worker.received_headers[0]
+            for worker in world.workers.values()
+            if worker.received_headers
         )
         assert headers["x-tenant"] == "salon"
         assert "x-credential" not in headers
@@ -47,7 +49,7 @@
         assert 3900 < int(headers["x-deadline-ms"]) <= 4000
         assert headers["host"] == "salon.example"
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 @pytest.mark.parametrize("fault", INVALID_RESPONSES)
@@ -56,15 +58,15 @@
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
         set_faults(world, fault)
-        reply = await world.ask("entry-1", "/book/1")
+        reply = await world.call("entry-1", "/book/1")
         assert reply.status == 502
         assert reply.headers["briarthread-outcome"] == "unknown"
         assert count_runs(world) == 1
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
-@pytest.mark.parametrize("fault", [*INVALID_RESPONSES, WorkerFault.OWN_ERROR])
+@pytest.mark.parametrize("fault", [*INVALID_RESPONSES, WorkerFault.SERVER_ERROR])
 def test_safe_request_is_served_by_the_second_target(
     fault: WorkerFault,
 ) -> None:
@@ -74,10 +76,10 @@
             for worker in world.workers.values():
                 worker.faults = []
             world.workers["diary-0"].faults = [fault]
-            statuses.append((await world.ask("entry-1", "/list/1")).status)
+            statuses.append((await world.call("entry-1", "/list/1")).status)
         assert statuses == [200] * 6
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 @pytest.mark.parametrize("fault", INVALID_RESPONSES)
@@ -86,119 +88,119 @@
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
         set_faults(world, fault)
-        assert (await world.ask("entry-1", "/book/1")).status == 502
+        assert (await world.call("entry-1", "/book/1")).status == 502
         assert count_runs(world) == 1
 
     row = build_route_row("/book/", DIARY, "unsafe", maxAttempts=3)
-    in_direct_world(scenario, config=build_config(routes=[row]))
+    run_in_direct_world(scenario, config=build_config(routes=[row]))
 
 
 def test_request_refused_after_it_may_have_run_is_not_reported_as_not_run() -> None:
     async def scenario(world: DirectWorld) -> None:
-        faults = [WorkerFault.LOSE_ANSWER, WorkerFault.REFUSE, WorkerFault.REFUSE]
+        faults = [WorkerFault.LOSE_RESPONSE, WorkerFault.REFUSE, WorkerFault.REFUSE]
         for worker in world.workers.values():
             worker.faults = faults
-        reply = await world.ask("entry-1", "/list/1")
+        reply = await world.call("entry-1", "/list/1")
         assert reply.status == 502
         assert reply.headers["briarthread-outcome"] == "unknown"
         assert count_runs(world) == 1
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_unsafe_request_refused_by_its_target_is_reported_as_not_run() -> None:
     async def scenario(world: DirectWorld) -> None:
         set_faults(world, WorkerFault.REFUSE)
-        reply = await world.ask("entry-1", "/book/1")
+        reply = await world.call("entry-1", "/book/1")
         assert (reply.status, count_runs(world)) == (503, 0)
         assert reply.headers["briarthread-outcome"] == "not-run"
         assert 0 < float(reply.headers["retry-after"]) <= 8 / 3
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_error_response_of_a_target_keeps_its_stamp() -> None:
     async def scenario(world: DirectWorld) -> None:
-        set_faults(world, WorkerFault.OWN_ERROR)
-        reply = await world.ask("entry-1", "/book/1")
+        set_faults(world, WorkerFault.SERVER_ERROR)
+        reply = await world.call("entry-1", "/book/1")
         assert (reply.status, reply.body) == (500, b"broken")
         assert reply.headers["x-server-stamp"] == "stamp"
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_request_to_an_unresponsive_target_fails_at_the_routes_timeout() -> None:
     async def scenario(world: DirectWorld) -> None:
-        set_faults(world, WorkerFault.MUTE, times=2)
+        set_faults(world, WorkerFault.NO_RESPONSE, times=2)
         started = anyio.current_time()
-        reply = await world.ask("entry-1", "/book/1")
+        reply = await world.call("entry-1", "/book/1")
         elapsed = anyio.current_time() - started
         assert reply.status == 504
         assert reply.headers["briarthread-outcome"] == "unknown"
         assert 3.9 < elapsed < 4.25
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_request_is_not_run_by_another_target_at_the_same_address() -> None:
     async def scenario(world: DirectWorld) -> None:
         for name in ("diary-0", "diary-1", "diary-2"):
             world.workers[name].name = f"other-{name}"
-        statuses = [(await world.ask("entry-1", "/book/1")).status for _ in range(3)]
+        statuses = [(await world.call("entry-1", "/book/1")).status for _ in range(3)]
         assert statuses == [503] * 3
         assert count_runs(world) == 0
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_target_is_not_tried_again_at_a_replaced_address() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.workers["diary-0"].name = "other"
-        replies = [await world.ask("entry-1", "/list/1") for _ in range(12)]
-        assert len(world.workers["diary-0"].seen) == 1
+        replies = [await world.call("entry-1", "/list/1") for _ in range(12)]
+        assert len(world.workers["diary-0"].received_headers) == 1
         assert {reply.status for reply in replies} == {503}
 
-    in_direct_world(scenario, diaries=1)
+    run_in_direct_world(scenario, diaries=1)
 
 
 def test_disconnect_of_the_caller_cancels_the_run_at_the_target() -> None:
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
             worker.delay = 3.0
-        await world.ask("entry-1", "/list/1", give_up=0.3)
+        await world.call("entry-1", "/list/1", client_timeout=0.3)
         await anyio.sleep(0.4)
-        assert sum(worker.broken_off for worker in world.workers.values()) == 1
-        assert all(worker.working == 0 for worker in world.workers.values())
+        assert sum(worker.cancelled_requests for worker in world.workers.values()) == 1
+        assert all(worker.in_progress == 0 for worker in world.workers.values())
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_attempts_are_limited_by_the_route() -> None:
     async def scenario(world: DirectWorld) -> None:
-        set_faults(world, WorkerFault.OWN_ERROR, times=9)
-        await world.ask("entry-1", "/list/1")
+        set_faults(world, WorkerFault.SERVER_ERROR, times=9)
+        await world.call("entry-1", "/list/1")
         assert count_runs(world) == 2
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_refused_connection_does_not_count_as_an_attempt() -> None:
     async def scenario(world: DirectWorld) -> None:
         world.network.close(world.addresses["diary-0"])
         world.network.close(world.addresses["diary-1"])
-        statuses = [(await world.ask("entry-1", "/book/1")).status for _ in range(4)]
+        statuses = [(await world.call("entry-1", "/book/1")).status for _ in range(4)]
         assert statuses == [200] * 4
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_request_for_a_service_without_targets_is_refused() -> None:
     async def scenario(world: DirectWorld) -> None:
-        reply = await world.ask("entry-1", "/book/1")
+        reply = await world.call("entry-1", "/book/1")
         assert reply.status == 503
         assert reply.headers["briarthread-outcome"] == "not-run"
 
-    in_direct_world(scenario, diaries=0)
+    run_in_direct_world(scenario, diaries=0)
 
 
 @pytest.mark.parametrize(
@@ -214,28 +216,28 @@
     path: str, headers: dict[str, str], status: int
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
-        reply = await world.ask("entry-1", path, headers)
+        reply = await world.call("entry-1", path, headers)
         assert (reply.status, count_runs(world)) == (status, 0)
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_oversized_body_is_refused() -> None:
     async def scenario(world: DirectWorld) -> None:
-        reply = await world.ask("entry-1", "/book/1", body=b"x" * 1001)
+        reply = await world.call("entry-1", "/book/1", body=b"x" * 1001)
         assert (reply.status, count_runs(world)) == (413, 0)
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_public_route_needs_no_key() -> None:
     async def scenario(world: DirectWorld) -> None:
-        reply = await world.ask("entry-1", "/open/1", {"x-credential": ""})
+        reply = await world.call("entry-1", "/open/1", {"x-credential": ""})
         assert reply.status == 200
 
     rows = [*build_config()["routes"], build_route_row("/open/", DIARY, "safe")]
     rows[-1]["public"] = True
-    in_direct_world(scenario, config=build_config(routes=rows))
+    run_in_direct_world(scenario, config=build_config(routes=rows))
 
 
 def test_split_route_distributes_requests_by_weight() -> None:
@@ -243,7 +245,7 @@
         world.add_worker("cards-0", "cards")
         await anyio.sleep(1)
         for _ in range(40):
-            assert (await world.ask("entry-1", "/mix/1")).status == 200
+            assert (await world.call("entry-1", "/mix/1")).status == 200
         served = world.workers["cards-0"].runs.total()
         assert 3 <= served <= 20
 
@@ -253,4 +255,4 @@
         {"service": "cards", "weight": 25},
     ]
     services = [*build_config()["services"], {"name": "cards"}]
-    in_direct_world(scenario, config=build_config(routes=[row], services=services))
+    run_in_direct_world(scenario, config=build_config(routes=[row], services=services))
--- a/tests/direct/test_crashing_requests.py
+++ b/tests/direct/test_crashing_requests.py
@@ -4,14 +4,18 @@
 
 import anyio
 import pytest
-from direct_builders import in_direct_world
+from direct_builders import run_in_direct_world
 
 from briarthread_common.messages.crash_words import CrashWords
 from briarthread_entry.direct.crash_tracker import CrashTracker
 from briarthread_entry.direct.request_digest import request_digest
-from briarthread_standins.crash_day import CRASHING, PLAIN, CrashDay
+from briarthread_standins.crash_scenario import (
+    CRASH_SCENARIOS,
+    PLAIN_SERVICE,
+    CrashScenario,
+)
+from briarthread_standins.crash_simulation import simulate_crashes
 from briarthread_standins.direct_world import DirectWorld
-from briarthread_standins.play_crashes import play_crashes
 
 STABLE_SECONDS = 3.0
 """Time in seconds after the third crash until all entries block the request."""
@@ -20,7 +24,7 @@
 CENTRES = ("palermo", "catania", "messina", "siracusa", "trapani")
 
 
-@pytest.mark.parametrize("name", CRASHING)
+@pytest.mark.parametrize("name", CRASH_SCENARIOS)
 def test_request_that_crashed_three_targets_is_blocked(name: str) -> None:
     """
     A caller repeats a request at any entry, and it crashes each target.
@@ -29,35 +33,39 @@
     retry budget, which happens if entries do not remember a request after its response
     or do not report to each other which requests ran when targets crashed.
     """
-    tally = play_crashes(CRASHING[name])
+    tally = simulate_crashes(CRASH_SCENARIOS[name])
     assert len(tally.crashes) >= 3
     assert tally.arrivals_after(3, STABLE_SECONDS) <= MAX_LATE_ARRIVALS
-    assert tally.shut_out == 1
+    assert tally.blocked_requests == 1
     assert tally.answers[502] >= 5
 
 
 def test_concurrent_plain_requests_are_all_served() -> None:
-    tally = play_crashes(CRASHING["plain, safe"])
+    tally = simulate_crashes(CRASH_SCENARIOS["plain, safe"])
     assert set(tally.statuses) == {200}
 
 
 KILLS = {
-    "one a second": replace(PLAIN, kills=1),
-    "two a second": replace(PLAIN, kills=2),
-    "many, back at once": replace(PLAIN, kills=4, down=1.0),
-    "unsafe": replace(PLAIN, kind="unsafe", kills=2),
-    "under load": replace(PLAIN, kills=2, rate=100.0, entries=9, down=2.0),
-    "ranks": CrashDay(kills=1, rate=8.0, down=0.5),
+    "one a second": replace(PLAIN_SERVICE, crashes_per_second=1),
+    "two a second": replace(PLAIN_SERVICE, crashes_per_second=2),
+    "many, back at once": replace(
+        PLAIN_SERVICE, crashes_per_second=4, down_seconds=1.0
+    ),
+    "unsafe": replace(PLAIN_SERVICE, kind="unsafe", crashes_per_second=2),
+    "under load": replace(
+        PLAIN_SERVICE, crashes_per_second=2, rate=100.0, entries=9, down_seconds=2.0
+    ),
+    "ranks": CrashScenario(crashes_per_second=1, rate=8.0, down_seconds=0.5),
 }
 
 
 @pytest.mark.parametrize("name", KILLS)
 def test_no_request_is_blocked_while_targets_crash_for_other_reasons(name: str) -> None:
     """A third of the requests are identical, as when many callers read one list."""
-    day = replace(KILLS[name], every=100.0, alike=0.3, seconds=20.0)
-    tally = play_crashes(day)
+    day = replace(KILLS[name], crash_interval=100.0, identical_share=0.3, seconds=20.0)
+    tally = simulate_crashes(day)
     assert tally.statuses[200] > 0
-    assert tally.shut_out == 0
+    assert tally.blocked_requests == 0
 
 
 def crash_three_targets(tracker: CrashTracker, digest: str, now: float) -> None:
@@ -86,7 +94,7 @@
         await anyio.sleep(2)
         assert restarted.crashes.is_blocked("d", anyio.current_time())
 
-    in_direct_world(scenario, names, data_centres=CENTRES[:centres])
+    run_in_direct_world(scenario, names, data_centres=CENTRES[:centres])
 
 
 def test_completely_answered_request_is_cleared_at_all_entries() -> None:
--- a/tests/direct/test_group_reports.py
+++ b/tests/direct/test_group_reports.py
@@ -1,7 +1,7 @@
 """Agents' reports on a group are used, and wrong ones do not block callers for long."""
 
 import anyio
-from direct_builders import MODEL, in_direct_world
+from direct_builders import MODEL, run_in_direct_world
 
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.messages.group_report import GroupReport
@@ -22,7 +22,7 @@
     results = []
     for _ in range(number):
         put_report(world, serving)
-        results.append((await world.ask("entry-1", "/chat/1", SIZE)).status)
+        results.append((await world.call("entry-1", "/chat/1", SIZE)).status)
         await anyio.sleep(0.1)
     return results
 
@@ -30,12 +30,12 @@
 def test_group_reported_as_not_serving_is_refused_at_once() -> None:
     async def scenario(world: DirectWorld) -> None:
         put_report(world, serving=False)
-        reply = await world.ask("entry-1", "/chat/1", SIZE)
+        reply = await world.call("entry-1", "/chat/1", SIZE)
         assert reply.status == 503
         assert reply.headers["briarthread-outcome"] == "not-run"
-        assert not any(worker.seen for worker in world.workers.values())
+        assert not any(worker.received_headers for worker in world.workers.values())
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_wrong_report_of_an_outage_is_corrected_by_a_probe() -> None:
@@ -44,17 +44,17 @@
         assert 200 in results[:5]
         assert results[-4:] == [200] * 4
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_report_that_a_group_serves_ends_its_outage() -> None:
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
             worker.faults = [WorkerFault.GROUP_BROKEN]
-        assert (await world.ask("entry-1", "/chat/1", SIZE)).status == 503
+        assert (await world.call("entry-1", "/chat/1", SIZE)).status == 503
         for worker in world.workers.values():
             worker.faults = []
         await anyio.sleep(1)
         assert await statuses(world, serving=True, number=3) == [200] * 3
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
--- a/tests/direct/test_left_out.py
+++ b/tests/direct/test_left_out.py
@@ -4,10 +4,10 @@
 
 from briarthread_entry.direct import admission_rule, group_admission, group_health
 from briarthread_measure.left_out import VARIANTS, LeftOut
-from briarthread_standins.load_day import LoadDay
-from briarthread_standins.play_load import play_load
+from briarthread_standins.load_scenario import LoadScenario
+from briarthread_standins.load_simulation import simulate_load
 
-SHORT = LoadDay(rate=40.0, seconds=1.0, outage_at=0.3, outage_seconds=0.3)
+SHORT = LoadScenario(rate=40.0, seconds=1.0, outage_at=0.3, outage_seconds=0.3)
 
 
 def current_values() -> list[object]:
@@ -26,10 +26,12 @@
     before = current_values()
     with variant.applied():
         assert (current_values() != before) == bool(variant.patches)
-        tally = play_load(SHORT, variant.prepare)
+        tally = simulate_load(SHORT, variant.prepare)
     assert current_values() == before
-    assert tally.asked > 20
-    assert tally.in_time + tally.late + tally.refused_twice + tally.lost == tally.asked
+    assert tally.requests > 20
+    assert (
+        tally.in_time + tally.late + tally.refused_twice + tally.lost == tally.requests
+    )
 
 
 def test_variants_have_unique_names() -> None:
--- a/tests/direct/test_load.py
+++ b/tests/direct/test_load.py
@@ -8,9 +8,9 @@
 import pytest
 
 from briarthread_measure.left_out import fixed_limit, keep, no_limit
-from briarthread_standins.caller_tally import CallerTally
-from briarthread_standins.load_day import LoadDay
-from briarthread_standins.play_load import play_load
+from briarthread_standins.caller_results import CallerResults
+from briarthread_standins.load_scenario import LoadScenario
+from briarthread_standins.load_simulation import simulate_load
 
 CAPACITY = 16.0
 """Requests a second that the stand-in group serves in time: 32 streams lead to passes
@@ -22,10 +22,10 @@
 
 def play(
     rate: float, limit: str, failure: str = "", burst: float = 1.0, seed: int = 7
-) -> CallerTally:
+) -> CallerResults:
     """Play a load of ``rate`` requests a second and return the callers' results."""
-    day = LoadDay(rate, SECONDS, burst, outage_seconds=OUTAGES[failure], seed=seed)
-    return play_load(day, LIMITS[limit])
+    day = LoadScenario(rate, SECONDS, burst, outage_seconds=OUTAGES[failure], seed=seed)
+    return simulate_load(day, LIMITS[limit])
 
 
 LIMITS = {"group": keep, "none": no_limit, "fixed": fixed_limit}
@@ -35,7 +35,7 @@
 def test_load_within_capacity_is_served_in_time_and_nobody_is_refused() -> None:
     tally = play(CAPACITY * 0.6, "group")
     assert tally.refused == 0
-    assert tally.in_time >= 0.98 * tally.asked
+    assert tally.in_time >= 0.98 * tally.requests
 
 
 @pytest.mark.parametrize("factor", [1.5, 2.5, 4.0])
@@ -45,10 +45,10 @@
     with_group_limit = play(CAPACITY * factor, "group")
     without_limit = play(CAPACITY * factor, "none")
     with_fixed_limit = play(CAPACITY * factor, "fixed")
-    assert with_group_limit.worth > without_limit.worth
-    assert with_group_limit.worth > with_fixed_limit.worth
+    assert with_group_limit.score > without_limit.score
+    assert with_group_limit.score > with_fixed_limit.score
     assert with_group_limit.in_time >= 0.75 * CAPACITY * SECONDS
-    assert with_group_limit.lost <= 0.05 * with_group_limit.asked
+    assert with_group_limit.lost <= 0.05 * with_group_limit.requests
 
 
 def test_refusals_come_at_once() -> None:
@@ -63,7 +63,7 @@
     assert refused >= 50
     assert sum(tally.refused_twice for tally in tallies) <= 0.33 * refused
     for tally in tallies:
-        assert tally.in_time + tally.late >= 0.9 * tally.asked
+        assert tally.in_time + tally.late >= 0.9 * tally.requests
 
 
 def test_broken_group_refuses_at_once_and_serves_client_retries() -> None:
@@ -75,7 +75,7 @@
     assert sum(tally.refused_twice for tally in tallies) <= 0.1 * refused
     for tally in tallies:
         assert tally.slowest_refusal < 0.25
-        assert tally.in_time + tally.late >= 0.95 * tally.asked
+        assert tally.in_time + tally.late >= 0.95 * tally.requests
 
 
 def test_client_retries_during_an_outage_are_served_after_recovery() -> None:
--- a/tests/direct/test_running_reports.py
+++ b/tests/direct/test_running_reports.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import MODEL, in_direct_world
+from direct_builders import MODEL, run_in_direct_world
 
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_entry.direct.peer_reports import PeerReports
@@ -29,18 +29,18 @@
 
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
-            worker.event_pause, worker.pieces = 0.2, 30
+            worker.event_interval, worker.event_count = 0.2, 30
         await anyio.sleep(2)
         async with anyio.create_task_group() as tasks:
             for name in names[: number // 2]:
-                tasks.start_soon(world.ask, name, "/chat/1", SIZE)
+                tasks.start_soon(world.call, name, "/chat/1", SIZE)
             await anyio.sleep(3)
             assert {running_total(world, name) for name in names} == {number // 2}
             tasks.cancel_scope.cancel()
         await anyio.sleep(2)
         assert {running_total(world, name) for name in names} == {0}
 
-    in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:centres])
+    run_in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:centres])
 
 
 def test_only_collectors_have_more_than_one_subscription() -> None:
@@ -54,7 +54,7 @@
         assert stream_counts[: 99 - len(CENTRES)] == [1] * (99 - len(CENTRES))
         assert max(stream_counts) <= 24 + len(CENTRES)
 
-    in_direct_world(scenario, names, data_centres=CENTRES)
+    run_in_direct_world(scenario, names, data_centres=CENTRES)
 
 
 def test_entry_that_is_new_knows_what_runs_before_it_is_listed() -> None:
@@ -62,20 +62,20 @@
 
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
-            worker.event_pause, worker.pieces = 0.2, 100
+            worker.event_interval, worker.event_count = 0.2, 100
         await anyio.sleep(2)
         async with anyio.create_task_group() as tasks:
             for name in names[:12]:
-                tasks.start_soon(world.ask, name, "/chat/1", SIZE)
+                tasks.start_soon(world.call, name, "/chat/1", SIZE)
             await anyio.sleep(1)
-            world.store.turned_away.add("10.1.0.31:9")
+            world.store.refused_callers.add("10.1.0.31:9")
             world.add_entry("entry-30")
             await anyio.sleep(1.5)
             assert "entry-30" not in world.entries["entry-0"].directory.all()
             assert running_total(world, "entry-30") == 12
             tasks.cancel_scope.cancel()
 
-    in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:2])
+    run_in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:2])
 
 
 def test_streams_stay_counted_while_a_collector_is_replaced() -> None:
@@ -83,7 +83,7 @@
 
     async def scenario(world: DirectWorld) -> None:
         for worker in world.workers.values():
-            worker.event_pause, worker.pieces = 0.2, 100
+            worker.event_interval, worker.event_count = 0.2, 100
         await anyio.sleep(2)
         collector = next(
             name
@@ -93,7 +93,7 @@
         others = [name for name in names if name != collector]
         async with anyio.create_task_group() as tasks:
             for name in others[:12]:
-                tasks.start_soon(world.ask, name, "/chat/1", SIZE)
+                tasks.start_soon(world.call, name, "/chat/1", SIZE)
             await anyio.sleep(1)
             assert {running_total(world, name) for name in others} == {12}
             world.kill_entry(collector)
@@ -109,7 +109,7 @@
             )
             tasks.cancel_scope.cancel()
 
-    in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:2])
+    run_in_direct_world(scenario, names, ranks=20, data_centres=CENTRES[:2])
 
 
 def test_sums_follow_changed_reports_and_drop_silent_entries() -> None:
--- a/tests/direct/test_several_groups.py
+++ b/tests/direct/test_several_groups.py
@@ -4,7 +4,7 @@
 
 import anyio
 import pytest
-from direct_builders import MODEL, build_direct_request, in_direct_world
+from direct_builders import MODEL, build_direct_request, run_in_direct_world
 
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.messages.group_report import GroupReport
@@ -12,8 +12,8 @@
 from briarthread_entry.direct.group_capacity import combined_capacity
 from briarthread_standins.direct_worker import WorkerFault
 from briarthread_standins.direct_world import DirectWorld
-from briarthread_standins.load_day import LoadDay
-from briarthread_standins.play_load import list_groups, play_load
+from briarthread_standins.load_scenario import LoadScenario
+from briarthread_standins.load_simulation import register_groups, simulate_load
 
 SIZE = {"x-token-count": "100,30"}
 EVENT_IDS = [1, 2, 3, 4, 5, 6]
@@ -25,11 +25,11 @@
     """Run a scenario with six ranks that are assigned to two groups in turn."""
 
     async def grouped(world: DirectWorld) -> None:
-        await list_groups(world, 2, RANKS)
+        await register_groups(world, 2, RANKS)
         await anyio.sleep(2)
         await scenario(world)
 
-    in_direct_world(grouped, ranks=RANKS)
+    run_in_direct_world(grouped, ranks=RANKS)
 
 
 def entry_of(world: DirectWorld) -> DirectEntry:
@@ -44,13 +44,15 @@
 
 def received_requests(world: DirectWorld, first: int) -> int:
     """Return the number of requests that the ranks of a group received."""
-    return sum(len(world.workers[f"rank-{n}"].seen) for n in range(first, RANKS, 2))
+    return sum(
+        len(world.workers[f"rank-{n}"].received_headers) for n in range(first, RANKS, 2)
+    )
 
 
 def test_request_refused_by_a_broken_group_continues_in_the_other_at_once() -> None:
     async def scenario(world: DirectWorld) -> None:
         break_group(world, 0)
-        replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(12)]
+        replies = [await world.call("entry-1", "/chat/1", SIZE) for _ in range(12)]
         assert [reply.status for reply in replies] == [200] * 12
         assert all(reply.event_ids == EVENT_IDS for reply in replies)
         assert received_requests(world, 0) <= 2
@@ -62,7 +64,7 @@
     async def scenario(world: DirectWorld) -> None:
         now = anyio.current_time()
         entry_of(world).group_reports.put(FIRST, GroupReport(False, group="g-0"), now)
-        replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(2)]
+        replies = [await world.call("entry-1", "/chat/1", SIZE) for _ in range(2)]
         assert [reply.status for reply in replies] == [200] * 2
         assert (received_requests(world, 0), received_requests(world, 1)) == (0, 2)
 
@@ -74,7 +76,7 @@
         break_group(world, 0)
         break_group(world, 1)
         started = anyio.current_time()
-        replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(10)]
+        replies = [await world.call("entry-1", "/chat/1", SIZE) for _ in range(10)]
         assert {reply.status for reply in replies} == {503}
         assert {r.headers["briarthread-outcome"] for r in replies} == {"not-run"}
         assert anyio.current_time() - started < 0.3
@@ -87,12 +89,12 @@
     async def scenario(world: DirectWorld) -> None:
         for number in range(0, RANKS, 2):
             world.workers[f"rank-{number}"].faults = [WorkerFault.CUT_EVENT] * 50
-        replies = [await world.ask("entry-1", "/chat/1", SIZE) for _ in range(8)]
+        replies = [await world.call("entry-1", "/chat/1", SIZE) for _ in range(8)]
         assert [reply.event_ids for reply in replies] == [EVENT_IDS] * 8
         resumed = {
             name
             for name, worker in world.workers.items()
-            if any("last-event-id" in headers for headers in worker.seen)
+            if any("last-event-id" in headers for headers in worker.received_headers)
         }
         assert resumed
         assert resumed <= {"rank-1", "rank-3", "rank-5"}
@@ -103,11 +105,11 @@
 def test_pause_before_a_stream_continues_elsewhere_is_not_a_pass() -> None:
     async def scenario(world: DirectWorld) -> None:
         cut = world.workers["rank-0"]
-        cut.faults, cut.cut_after = [WorkerFault.CUT_EVENT] * 50, 1
+        cut.faults, cut.events_before_cut = [WorkerFault.CUT_EVENT] * 50, 1
         for worker in world.workers.values():
             worker.delay = 1.0
         for _ in range(8):
-            await world.ask("entry-1", "/chat/1", SIZE)
+            await world.call("entry-1", "/chat/1", SIZE)
         meter = entry_of(world).capacity.meters[SECOND]
         assert meter.mean_seconds(anyio.current_time()) < 0.1
 
@@ -166,20 +168,23 @@
         entry = entry_of(world)
         target = entry.registry.states["rank-4"].target
         assert entry.membership.group_of(target) == GroupId(MODEL)
-        await list_groups(world, groups=1, ranks=2)
+        await register_groups(world, groups=1, ranks=2)
         await anyio.sleep(2)
         assert entry.membership.group_of(target) == FIRST
-        await list_groups(world, groups=2, ranks=2)
+        await register_groups(world, groups=2, ranks=2)
         await anyio.sleep(2)
         assert entry.membership.group_of(target) == GroupId(MODEL)
 
-    in_direct_world(scenario, ranks=RANKS)
+    run_in_direct_world(scenario, ranks=RANKS)
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 def test_outage_of_one_of_two_groups_hardly_affects_callers(seed: int) -> None:
-    day = LoadDay(12.0, ranks=12, groups=2, outage_seconds=5.0, seed=seed)
-    tally, not_told_tally = play_load(day), play_load(replace(day, told=False))
-    assert tally.in_time >= 0.95 * tally.asked
+    day = LoadScenario(12.0, ranks=12, groups=2, outage_seconds=5.0, seed=seed)
+    tally, not_told_tally = (
+        simulate_load(day),
+        simulate_load(replace(day, membership_reported=False)),
+    )
+    assert tally.in_time >= 0.95 * tally.requests
     assert tally.refused_twice == 0
-    assert tally.worth > not_told_tally.worth + 0.1
+    assert tally.score > not_told_tally.score + 0.1
--- a/tests/direct/test_slow_ranks.py
+++ b/tests/direct/test_slow_ranks.py
@@ -1,13 +1,13 @@
 """Streams continue on another rank when their own becomes slow."""
 
 import anyio
-from direct_builders import MODEL, build_direct_request, in_direct_world
+from direct_builders import MODEL, build_direct_request, run_in_direct_world
 
 from briarthread_common.direct.group_id import GroupId
 from briarthread_common.messages.group_report import GroupReport
 from briarthread_common.messages.running_report import RunningReport
 from briarthread_entry.direct.group_capacity import combined_capacity
-from briarthread_standins.direct_world import DirectWorld, Reply
+from briarthread_standins.direct_world import DirectResponse, DirectWorld
 
 SIZE = {"x-token-count": "100,200"}
 STREAM_PATH = "/chat/1"
@@ -30,19 +30,21 @@
     }
 
 
-async def stream_until_slow(world: DirectWorld, factor: float) -> tuple[Reply, dict]:
+async def stream_until_slow(
+    world: DirectWorld, factor: float
+) -> tuple[DirectResponse, dict]:
     """Start a stream, slow its rank down and return the reply and the runs."""
-    replies: list[Reply] = []
+    replies: list[DirectResponse] = []
 
     async def ask() -> None:
-        replies.append(await world.ask("entry-1", STREAM_PATH, SIZE))
+        replies.append(await world.call("entry-1", STREAM_PATH, SIZE))
 
     for worker in world.workers.values():
-        worker.event_pause, worker.pieces = 0.1, 20
+        worker.event_interval, worker.event_count = 0.1, 20
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
         await anyio.sleep(0.85)
-        request = f"request-{world.requests}"
+        request = f"request-{world.request_count}"
         (first,) = runs_by_rank(world, request)
         for _ in range(8):
             report_slow(world, first, factor)
@@ -56,11 +58,11 @@
     async def scenario(world: DirectWorld) -> None:
         reply, ran = await stream_until_slow(world, factor=5.0)
         assert reply.status == 200
-        assert reply.whole
+        assert reply.complete
         assert reply.event_ids == list(range(1, 21))
         assert sorted(ran.values()) == [1, 1]
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_stream_stays_on_a_slightly_slower_rank() -> None:
@@ -69,7 +71,7 @@
         assert reply.event_ids == list(range(1, 21))
         assert list(ran.values()) == [1]
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_stream_stays_on_its_rank_when_the_retry_budget_is_used_up() -> None:
@@ -81,7 +83,7 @@
         assert reply.event_ids == list(range(1, 21))
         assert list(ran.values()) == [1]
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_new_streams_avoid_a_slow_rank() -> None:
@@ -89,21 +91,21 @@
         report_slow(world, "rank-0", 5.0)
         for _ in range(12):
             report_slow(world, "rank-0", 5.0)
-            assert (await world.ask("entry-1", STREAM_PATH, SIZE)).status == 200
+            assert (await world.call("entry-1", STREAM_PATH, SIZE)).status == 200
         assert sum(world.workers["rank-0"].runs.values()) == 0
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_served_streams_are_recorded_in_the_event_log() -> None:
     async def scenario(world: DirectWorld) -> None:
         for _ in range(10):
-            assert (await world.ask("entry-1", STREAM_PATH, SIZE)).status == 200
+            assert (await world.call("entry-1", STREAM_PATH, SIZE)).status == 200
         await anyio.sleep(1)
         events = world.entries["entry-1"].events.ring
         assert sum(event.decision == "request-served" for event in events) == 10
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
 
 
 def test_capacity_excludes_slow_ranks_despite_a_recent_count_of_all_ranks() -> None:
@@ -118,4 +120,4 @@
         entry.capacity.note_event(request.service, GroupId(MODEL), None)
         assert combined_capacity(entry.capacity.capacities(request, now)).running == 1
 
-    in_direct_world(scenario)
+    run_in_direct_world(scenario)
--- a/tests/direct/test_stops.py
+++ b/tests/direct/test_stops.py
@@ -2,9 +2,9 @@
 
 import anyio
 import pytest
-from direct_builders import in_direct_world
+from direct_builders import run_in_direct_world
 
-from briarthread_standins.direct_world import DirectWorld, Reply
+from briarthread_standins.direct_world import DirectResponse, DirectWorld
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 SIZE = {"x-token-count": "100,30"}
@@ -21,10 +21,10 @@
 
 def test_requests_around_a_planned_stop_are_answered_whole() -> None:
     async def scenario(world: DirectWorld) -> None:
-        replies: list[Reply] = []
+        replies: list[DirectResponse] = []
 
         async def ask(path: str) -> None:
-            replies.append(await world.ask("entry-1", path, SIZE))
+            replies.append(await world.call("entry-1", path, SIZE))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(ask, "/chat/1")
@@ -37,9 +37,9 @@
                 await anyio.sleep(0.12)
         assert [reply.status for reply in replies] == [200] * 9
         assert [reply.event_ids for reply in replies] == [EVENT_IDS] * 9
-        assert all(reply.whole for reply in replies)
+        assert all(reply.complete for reply in replies)
 
-    in_direct_world(scenario, entries=ENTRIES)
+    run_in_direct_world(scenario, entries=ENTRIES)
 
 
 def test_entries_serve_at_once_after_all_were_killed() -> None:
@@ -51,10 +51,10 @@
             world.add_entry(name)
         await anyio.sleep(1)
         for name in ENTRIES:
-            assert (await world.ask(name, "/chat/1", SIZE)).event_ids == EVENT_IDS
-            assert (await world.ask(name, "/book/1")).status == 200
+            assert (await world.call(name, "/chat/1", SIZE)).event_ids == EVENT_IDS
+            assert (await world.call(name, "/book/1")).status == 200
 
-    in_direct_world(scenario, entries=ENTRIES)
+    run_in_direct_world(scenario, entries=ENTRIES)
 
 
 @pytest.mark.parametrize("others", [0, 1])
@@ -62,7 +62,7 @@
     others: int,
 ) -> None:
     async def scenario(world: DirectWorld) -> None:
-        world.store.silent = True
+        world.store.unresponsive = True
         for name in ENTRIES[others:]:
             world.kill_entry(name)
         for name in ENTRIES[others:]:
@@ -70,10 +70,10 @@
         await anyio.sleep(4)
         expected = 200 if others else 503
         for name in ENTRIES[others:]:
-            assert (await world.ask(name, "/list/1")).status == expected
-        world.store.silent = False
+            assert (await world.call(name, "/list/1")).status == expected
+        world.store.unresponsive = False
         await anyio.sleep(4)
         for name in ENTRIES:
-            assert (await world.ask(name, "/list/1")).status == 200
+            assert (await world.call(name, "/list/1")).status == 200
 
-    in_direct_world(scenario, entries=ENTRIES)
+    run_in_direct_world(scenario, entries=ENTRIES)
--- a/tests/direct/test_target_limits.py
+++ b/tests/direct/test_target_limits.py
@@ -6,9 +6,9 @@
 
 from briarthread_entry.direct.target_limits import TargetLimits
 from briarthread_standins.direct_config import DIARY
-from briarthread_standins.limit_day import LimitDay, LimitStep
-from briarthread_standins.limit_tally import LimitTally, allowed
-from briarthread_standins.play_limits import play_limits
+from briarthread_standins.limit_results import LimitResults, max_allowed_arrivals
+from briarthread_standins.limit_scenario import LimitScenario, LimitStep
+from briarthread_standins.limit_simulation import simulate_limits
 
 STABLE_SECONDS = 3.0
 """Time in seconds after a limit is first stated until it must be observed."""
@@ -16,11 +16,11 @@
 LIMITS = ["1", "2.5", "6"]
 
 
-def check_limit(tally: LimitTally, limit: float, targets: int = 1) -> None:
+def check_limit(tally: LimitResults, limit: float, targets: int = 1) -> None:
     """Check that none of the first ``targets`` got more than its limit allows."""
     since = LIMIT_START_SECONDS + STABLE_SECONDS
-    highest = max(tally.most(target, since) for target in range(targets))
-    assert 0 < highest <= allowed(limit)
+    highest = max(tally.max_arrivals(target, since) for target in range(targets))
+    assert 0 < highest <= max_allowed_arrivals(limit)
 
 
 def limit_steps(limit: str, targets: int = 1) -> tuple[LimitStep, ...]:
@@ -38,8 +38,8 @@
     errors, alerts or retries, the rank got 12 requests within four seconds, more than
     half a minute after it first stated the limit; 11 are allowed.
     """
-    tally = play_limits(
-        LimitDay(rate=rate, steps=limit_steps("1"), seconds=24.0, seed=seed)
+    tally = simulate_limits(
+        LimitScenario(rate=rate, steps=limit_steps("1"), seconds=24.0, seed=seed)
     )
     assert set(tally.statuses) == {200}
     check_limit(tally, 1.0)
@@ -47,10 +47,10 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 def test_rank_gets_most_of_its_stated_limit(limit: str) -> None:
-    day = LimitDay(targets=4, rate=36.0, steps=limit_steps(limit), seconds=18.0)
-    tally = play_limits(day)
+    day = LimitScenario(targets=4, rate=36.0, steps=limit_steps(limit), seconds=18.0)
+    tally = simulate_limits(day)
     check_limit(tally, float(limit))
-    rate = tally.a_second(0, LIMIT_START_SECONDS + STABLE_SECONDS, 18.0)
+    rate = tally.arrivals_per_second(0, LIMIT_START_SECONDS + STABLE_SECONDS, 18.0)
     assert rate >= 0.8 * float(limit)
 
 
@@ -60,17 +60,17 @@
     trouble: str, limit: str
 ) -> None:
     """The second issuer issues half meanwhile; a restarted one has an empty bucket."""
-    day = LimitDay(
+    day = LimitScenario(
         targets=4,
         rate=36.0,
         seconds=18.0,
         steps=limit_steps(limit),
-        trouble_at=9.0,
+        fault_at=9.0,
         **{trouble: True},
     )
-    tally = play_limits(day)
+    tally = simulate_limits(day)
     check_limit(tally, float(limit))
-    assert tally.a_second(0, 10.0, 13.0) >= 0.3 * float(limit)
+    assert tally.arrivals_per_second(0, 10.0, 13.0) >= 0.3 * float(limit)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
@@ -79,41 +79,41 @@
 ) -> None:
     """Three plain targets get a third more requests than they accept together."""
     rate = 4 * float(limit)
-    day = LimitDay(
+    day = LimitScenario(
         targets=3, service=DIARY, rate=rate, steps=limit_steps(limit, 3), seconds=18.0
     )
-    tally = play_limits(day)
+    tally = simulate_limits(day)
     check_limit(tally, float(limit), targets=3)
     assert set(tally.statuses) == {200, 503}
     assert tally.slowest_refusal <= 0.25
-    assert min(tally.waits) > 0
-    assert max(tally.waits) <= 8 / 3
-    served = sum(tally.a_second(target, 6.0, 18.0) for target in range(3))
+    assert min(tally.retry_after_seconds) > 0
+    assert max(tally.retry_after_seconds) <= 8 / 3
+    served = sum(tally.arrivals_per_second(target, 6.0, 18.0) for target in range(3))
     assert served >= 0.8 * 3 * float(limit)
 
 
 def test_group_whose_ranks_all_state_limits_is_not_broken() -> None:
-    day = LimitDay(targets=4, rate=12.0, steps=limit_steps("2", 4))
-    tally = play_limits(day)
+    day = LimitScenario(targets=4, rate=12.0, steps=limit_steps("2", 4))
+    tally = simulate_limits(day)
     check_limit(tally, 2.0, targets=4)
-    served = sum(tally.a_second(target, 6.0, 24.0) for target in range(4))
+    served = sum(tally.arrivals_per_second(target, 6.0, 24.0) for target in range(4))
     assert served >= 0.75 * 4 * 2.0
 
 
 def test_changed_ended_and_restored_limit_is_observed() -> None:
     steps = [(3.0, "1"), (9.0, "4"), (15.0, None), (21.0, "1")]
-    day = LimitDay(
+    day = LimitScenario(
         targets=4,
         rate=36.0,
         seconds=30.0,
         steps=tuple(LimitStep(at, to) for at, to in steps),
     )
-    tally = play_limits(day)
-    assert tally.most(0, 6.0, 9.0) <= allowed(1.0)
-    assert tally.most(0, 10.0, 15.0) <= allowed(4.0)
-    assert tally.a_second(0, 10.0, 15.0) >= 3.0
-    assert tally.a_second(0, 16.0, 21.0) >= 5.5
-    assert tally.most(0, 24.0) <= allowed(1.0)
+    tally = simulate_limits(day)
+    assert tally.max_arrivals(0, 6.0, 9.0) <= max_allowed_arrivals(1.0)
+    assert tally.max_arrivals(0, 10.0, 15.0) <= max_allowed_arrivals(4.0)
+    assert tally.arrivals_per_second(0, 10.0, 15.0) >= 3.0
+    assert tally.arrivals_per_second(0, 16.0, 21.0) >= 5.5
+    assert tally.max_arrivals(0, 24.0) <= max_allowed_arrivals(1.0)
 
 
 def test_limit_is_known_to_an_entry_without_requests_to_the_target() -> None:
--- a/tests/direct_builders.py
+++ b/tests/direct_builders.py
@@ -79,7 +79,7 @@
     return DirectRequest(**{**fields, **changes})
 
 
-def in_direct_world(
+def run_in_direct_world(
     scenario: Callable[[DirectWorld], Awaitable[None]],
     entries: tuple[str, ...] = ("entry-1",),
     diaries: int = 3,
@@ -110,7 +110,7 @@
     run_virtual(run)
 
 
-def in_group_world(
+def run_in_group_world(
     scenario: Callable[[GroupWorld], Awaitable[None]],
     ranks: int = 4,
     skewed: bool = True,
@@ -132,7 +132,7 @@
             world.network.link_rate = link_rate
             world.store.put("op", "config", build_group_config(world))
             for group in world.groups if skewed else ():
-                prefer(group, hot=0)
+                skew_demand(group, hot=0)
             world.world.add_entry("entry-1")
             for number in range(world.ranks):
                 world.start_agent(number)
@@ -156,7 +156,7 @@
     return build_config(services=[{"name": MODEL, "engine": engine}, {"name": DIARY}])
 
 
-def prefer(group: DirectGroup, hot: int) -> None:
+def skew_demand(group: DirectGroup, hot: int) -> None:
     """Make some experts of each set much liked, ``hot`` first of them."""
     for demand in group.demand:
         for expert in range(group.experts):
--- a/tests/fuzz/booking_machine.py
+++ b/tests/fuzz/booking_machine.py
@@ -105,7 +105,7 @@
                 pass
             else:
                 count(f"answers {answer.status} {answer.outcome}".strip())
-                self.oracle.note_answer(key, answer, self.world.runs(key))
+                self.oracle.note_answer(key, answer, self.world.run_count(key))
                 return
         self.oracle.note_hang_up(key)
 
@@ -126,17 +126,17 @@
             case Kill(name) | Replace(name) | Stop(name) | Freeze(name):
                 self._break_process(fault, name)
             case Unlist(name):
-                if name not in self.world.members:
-                    self.world.platform.state.unlist([name])
+                if name not in self.world.processes:
+                    self.world.platform.state.remove_instances([name])
             case SwitchPlatform(mode):
                 self.world.platform.state.mode = mode
                 self.world.platform.state.delay = 1.0
             case Cut(one, other):
-                self.world.network.cut(one, other)
+                self.world.network.partition(one, other)
             case LoseAnswers(path, times):
-                self.world.network.lose_answers[path] = times
+                self.world.network.lost_responses[path] = times
             case Duplicate(path, times):
-                self.world.network.duplicate[path] = times
+                self.world.network.duplicated_calls[path] = times
 
     def _break_process(self, fault: Fault, name: str) -> None:
         match fault:
@@ -146,15 +146,15 @@
                 self.world.kill(name)
                 self.world.start(name)
             case Stop():
-                if name in self.world.members:
+                if name in self.world.processes:
                     self.tasks.start_soon(self._stop, name)
             case _:
                 self.freeze(name, True)
 
     async def _stop(self, name: str) -> None:
-        member = self.world.members[name]
-        await member.part.drain()
-        if self.world.members.get(name) is member:
+        member = self.world.processes[name]
+        await member.component.drain()
+        if self.world.processes.get(name) is member:
             self.world.kill(name)
 
     @rule(which=st.integers(0, KINDS_OF_REPAIR - 1))
@@ -179,7 +179,7 @@
     def nothing_is_violated(self) -> None:
         """Check every key against the oracle."""
         for key in self.oracle.keys:
-            self.oracle.check_runs(key, self.world.runs(key))
+            self.oracle.check_runs(key, self.world.run_count(key))
         assert not self.oracle.violations, self.oracle.violations
 
     def repair_all(self) -> None:
@@ -190,5 +190,5 @@
     def check_end(self) -> None:
         """Check the final counts of all keys."""
         for key in self.oracle.keys:
-            self.oracle.check_end(key, self.world.runs(key))
+            self.oracle.check_end(key, self.world.run_count(key))
         assert not self.oracle.violations, self.oracle.violations
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -104,10 +104,10 @@
             self.do(self.repair_all)
             self.let_pass(CALM_SECONDS)
         network = self.world.network
-        network.late = late
+        network.late_seconds = late
         for name in set(RANKS) - confirmed:
             address = self.world.instances[name].address
-            network.delay[f"{CONFIRM_PATH}@{address}"] = 1
+            network.delayed_calls[f"{CONFIRM_PATH}@{address}"] = 1
         self.propose(0, new_lease=True)
         self.let_pass(CONFIRM_SECONDS)
         self.do(self._kill_planners)
@@ -169,7 +169,7 @@
         engine.alive = True
         name = RANKS[number]
         self.world.network.listen(
-            f"target-{name}", f"slot-{name}", engine.app, takes_late=False
+            f"target-{name}", f"slot-{name}", engine.app, accepts_late_calls=False
         )
 
     @rule(name=st.sampled_from(RANKS))
@@ -182,13 +182,13 @@
     def cut(self, planner: str) -> None:
         """Cut a planner off from the group."""
         count("cuts")
-        self.world.network.cut(planner, SITE)
+        self.world.network.partition(planner, SITE)
 
     @rule(path=st.sampled_from(PATHS), times=st.integers(1, 3))
-    def lose_answers(self, path: str, times: int) -> None:
+    def lost_responses(self, path: str, times: int) -> None:
         """Lose answers on a path after their calls took effect."""
         count("lost answers")
-        self.world.network.lose_answers[path] = times
+        self.world.network.lost_responses[path] = times
 
     @rule(
         path=st.sampled_from(PATHS),
@@ -198,8 +198,8 @@
     def delay(self, path: str, times: int, late: float) -> None:
         """Let calls on a path break for the caller and arrive later."""
         count("delays")
-        self.world.network.delay[path] = times
-        self.world.network.late = late
+        self.world.network.delayed_calls[path] = times
+        self.world.network.late_seconds = late
 
     @rule(
         path=st.sampled_from(PATHS),
@@ -209,8 +209,8 @@
     def duplicate(self, path: str, times: int, late: float) -> None:
         """Let calls on a path arrive again, later."""
         count("duplicates")
-        self.world.network.duplicate[path] = times
-        self.world.network.late = late
+        self.world.network.duplicated_calls[path] = times
+        self.world.network.late_seconds = late
 
     @rule()
     def repair(self) -> None:
@@ -225,7 +225,7 @@
         for number in range(len(RANKS)):
             self._start_engine(number)
         self.world.network.heal()
-        self.world.network.delay.clear()
+        self.world.network.delayed_calls.clear()
         self.start_missing()
 
     @invariant()
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from briarthread_standins.world import Answer
+from briarthread_standins.world import CallerResponse
 
 NOT_RUN = "not-run"
 OK = 200
@@ -14,7 +14,7 @@
 
     open: int = 0
     hung_up: int = 0
-    answers: list[Answer] = field(default_factory=list)
+    answers: list[CallerResponse] = field(default_factory=list)
 
 
 class Oracle:
@@ -33,7 +33,7 @@
         """Note that a key is asked."""
         self.keys.setdefault(key, KeyHistory()).open += 1
 
-    def note_answer(self, key: str, answer: Answer, runs: int) -> None:
+    def note_answer(self, key: str, answer: CallerResponse, runs: int) -> None:
         """Note an answer, and how often the key has run by now."""
         history = self.keys[key]
         history.open -= 1
--- a/tests/fuzz/test_rank_maps.py
+++ b/tests/fuzz/test_rank_maps.py
@@ -4,7 +4,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world, prefer
+from direct_builders import run_in_group_world, skew_demand
 from hypothesis import example, given
 from hypothesis import strategies as st
 
@@ -105,7 +105,7 @@
     async def scenario(world: GroupWorld) -> None:
         for number, fault in enumerate(faults):
             await anyio.sleep(fault.after)
-            prefer(world.group, 5 * number)
+            skew_demand(world.group, 5 * number)
             strike(world, fault)
             await anyio.sleep(0.5)
         recover(world)
@@ -118,7 +118,7 @@
         await anyio.sleep(1)
         assert world.group.step > step
 
-    in_group_world(scenario, RANKS)
+    run_in_group_world(scenario, RANKS)
 
 
 def strike(world: GroupWorld, fault: Fault) -> None:
@@ -137,16 +137,16 @@
         case "freeze-planner":
             world.tasks.start_soon(freeze_planner_later, world, fault)
         case "lose":
-            world.group.unanswered = fault.count
-            world.group.late = fault.count / 2
+            world.group.unanswered_orders = fault.count
+            world.group.late_seconds = fault.count / 2
         case "lose-arm" | "lose-hold" | "lose-go":
             kind = fault.kind.removeprefix("lose-")
-            world.group.unanswered_of = {kind: fault.count}
-            world.group.late = fault.count / 2
+            world.group.unanswered_by_kind = {kind: fault.count}
+            world.group.late_seconds = fault.count / 2
         case "form":
-            world.group.form_anew()
+            world.group.reform()
         case "store":
-            world.store.silent = not world.store.silent
+            world.store.unresponsive = not world.store.unresponsive
 
 
 async def start_later(world: GroupWorld, fault: Fault) -> None:
@@ -182,9 +182,9 @@
 
 
 def recover(world: GroupWorld) -> None:
-    world.store.silent = False
-    world.group.unanswered = 0
-    world.group.unanswered_of = {}
+    world.store.unresponsive = False
+    world.group.unanswered_orders = 0
+    world.group.unanswered_by_kind = {}
     for rank in range(RANKS):
         thaw(world, rank)
         if rank not in world.agents:
--- a/tests/fuzz/world_machine.py
+++ b/tests/fuzz/world_machine.py
@@ -62,11 +62,11 @@
 
     def do(self, function: Callable[..., object], *arguments: object) -> None:
         """Call a function inside the loop."""
-        self.live.do(function, *arguments)
+        self.live.call(function, *arguments)
 
     def let_pass(self, seconds: float) -> None:
         """Let virtual time pass."""
-        self.live.let_pass(seconds)
+        self.live.advance(seconds)
 
     def freeze(self, name: str, frozen: bool) -> None:
         """Hold back, or let go, all messages of an instance."""
@@ -75,7 +75,7 @@
     def start_missing(self) -> None:
         """Start every instance that does not run."""
         instances = self.world.instances
-        missing = [name for name in instances if name not in self.world.members]
+        missing = [name for name in instances if name not in self.world.processes]
         for name in missing:
-            self.world.platform.state.list_instances([instances[name]])
+            self.world.platform.state.put_instances([instances[name]])
             self.world.start(name)
--- a/tests/live_world.py
+++ b/tests/live_world.py
@@ -28,7 +28,7 @@
         self.holder = self.loop.create_task(self._hold(build, ready))
         self.run(ready.wait())
 
-    def do(self, function: Callable[..., object], *arguments: object) -> None:
+    def call(self, function: Callable[..., object], *arguments: object) -> None:
         """Call a function inside the loop."""
 
         async def act() -> None:
@@ -37,7 +37,7 @@
 
         self.run(act())
 
-    def let_pass(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.run(anyio.sleep(seconds))
 
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -7,7 +7,7 @@
 import anyio
 import msgspec
 import pytest
-from direct_builders import DIARY, in_direct_world
+from direct_builders import DIARY, run_in_direct_world
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -100,13 +100,13 @@
         for number in range(200):
             world.store.put("servers", f"odd-{number}", row if change else ["odd"])
         await anyio.sleep(2)
-        statuses = {(await world.ask("entry-1", "/list/1")).status for _ in range(20)}
+        statuses = {(await world.call("entry-1", "/list/1")).status for _ in range(20)}
         assert statuses == {200}
         worker = world.add_worker("odd-7", DIARY)
         await anyio.sleep(2)
         async with anyio.create_task_group() as callers:
             for _ in range(30):
-                callers.start_soon(world.ask, "entry-1", "/list/1")
+                callers.start_soon(world.call, "entry-1", "/list/1")
         assert worker.runs
 
-    in_direct_world(scenario, diaries=1)
+    run_in_direct_world(scenario, diaries=1)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -10,18 +10,18 @@
 from briarthread_common.messages.instance import Instance, InstanceRole
 from briarthread_platform.store import Store
 from briarthread_standins.fake_network import FakeNetwork
-from briarthread_standins.users_store import UsersStore
+from briarthread_standins.fake_platform_store import FakePlatformStore
 from briarthread_standins.virtual_time import run_virtual
 
 ADDRESS = "10.200.0.1:80"
 ROW = Instance("entry-1", "palermo", "10.1.0.1:9", InstanceRole.ENTRY)
 
 
-def with_store(scenario: Callable[[UsersStore, Store], Awaitable[None]]) -> None:
+def with_store(scenario: Callable[[FakePlatformStore, Store], Awaitable[None]]) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
             network = FakeNetwork(tasks)
-            users_store = UsersStore()
+            users_store = FakePlatformStore()
             network.listen(ADDRESS, "store", users_store.app)
             client = Store(network.channel("10.1.0.1:9", "palermo"), ADDRESS)
             await scenario(users_store, client)
@@ -31,8 +31,8 @@
 
 
 def test_whole_feed_of_several_pages() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
-        users_store.page = 2
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
+        users_store.page_size = 2
         for number in range(5):
             users_store.put("servers", f"i-{number}", {"n": number})
         patch = await client.read_snapshot("targets")
@@ -44,13 +44,13 @@
 
 
 def test_follow_waits_for_a_change_and_tells_dropped_rows() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
         before = (await client.read_snapshot("targets")).number
 
         async def change() -> None:
             await anyio.sleep(1)
-            users_store.drop("servers", "i-1")
+            users_store.delete("servers", "i-1")
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(change)
@@ -63,7 +63,7 @@
 
 
 def test_follow_without_news_ends_after_the_wait() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
         patch = await client.long_poll("targets", 0, 4.0)
         assert patch.changes == {}
         assert 4 <= anyio.current_time() < 5
@@ -72,9 +72,9 @@
 
 
 def test_dropped_history_is_told_as_such() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
         users_store.put("servers", "i-1", {})
-        users_store.forget()
+        users_store.discard_history()
         with pytest.raises(HistoryGoneError):
             await client.long_poll("targets", 0, 0.0)
 
@@ -83,8 +83,8 @@
 
 @pytest.mark.parametrize("status", [429, 503, 500])
 def test_refused_call_is_a_platform_error(status: int) -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
-        users_store.refuse = status
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
+        users_store.refusal_status = status
         with pytest.raises(PlatformError, match=str(status)):
             await client.read_snapshot("targets")
 
@@ -92,8 +92,8 @@
 
 
 def test_silent_store_is_given_up_within_a_second_and_a_bit() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
-        users_store.silent = True
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
+        users_store.unresponsive = True
         with pytest.raises(PlatformError, match="no answer"):
             await client.read_snapshot("targets")
         assert anyio.current_time() < 1.5
@@ -102,7 +102,7 @@
 
 
 def test_instance_is_listed_in_a_table_of_our_own() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
         await client.register_instance(ROW)
         assert b"entry-1" in users_store.value("instances", "entry-1")
         patch = await client.read_snapshot("instances")
@@ -112,7 +112,7 @@
 
 
 def test_seat_is_taken_by_one_and_numbers_only_rise() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
         first = await client.acquire_role("maps/g", "agent-1")
         second = await client.acquire_role("maps/g", "agent-2")
         assert first is not None
@@ -123,9 +123,9 @@
 
 
 def test_seat_taken_by_another_between_read_and_write_is_not_ours() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
-        users_store.late_writes = 1
-        users_store.late = 0.5
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
+        users_store.delayed_writes = 1
+        users_store.write_delay_seconds = 0.5
         taken: list[int | None] = []
 
         async def slow() -> None:
@@ -145,8 +145,8 @@
 
 
 def test_lost_answer_to_a_write_is_an_error_though_it_was_done() -> None:
-    async def scenario(users_store: UsersStore, client: Store) -> None:
-        users_store.lose_writes = 1
+    async def scenario(users_store: FakePlatformStore, client: Store) -> None:
+        users_store.unanswered_writes = 1
         with pytest.raises(PlatformError):
             await client.register_instance(ROW)
         assert users_store.value("instances", "entry-1") is not None
--- a/tests/processes/run_bad_input.py
+++ b/tests/processes/run_bad_input.py
@@ -155,7 +155,7 @@
         try:
             deployment.start()
             deployment.apply(TEXT)
-            deployment.wait_ready()
+            deployment.wait_until_ready()
             checks: list[Callable[[], bool]] = [
                 *(lambda name=name: run_case(deployment, name) for name in CASES),
                 lambda: hang_up(deployment),
--- a/tests/processes/run_faults.py
+++ b/tests/processes/run_faults.py
@@ -87,7 +87,7 @@
     """Start the agent of a target anew."""
     _, data_centre, number = name.rsplit("-", 2)
     deployment.start_target(data_centre, "diary", "plain_service", int(number))
-    deployment.wait_ready()
+    deployment.wait_until_ready()
 
 
 def under_load(deployment: Deployment, prefix: str, fault: object) -> Load:
@@ -197,8 +197,8 @@
             raw = TEXT.read_text(encoding="utf-8")
             text.write_text(raw.replace("depends_on = diary\n", ""), encoding="utf-8")
             deployment.apply(text)
-            deployment.wait_ready()
-            deployment.wait_shares(["diary"], SHARES)
+            deployment.wait_until_ready()
+            deployment.wait_for_shares(["diary"], SHARES)
             checks = [roll, kill_and_replace, freeze_holder, kill_under_load]
             results = [check(deployment) for check in checks]
         finally:
--- a/tests/ranks/test_large_groups.py
+++ b/tests/ranks/test_large_groups.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world
+from direct_builders import run_in_group_world
 
 from briarthread_standins.direct_agents import GroupWorld
 
@@ -41,7 +41,7 @@
         assert world.group.violations == []
         assert world.group.held_seconds < 0.2
 
-    in_group_world(
+    run_in_group_world(
         scenario,
         ranks,
         False,
@@ -57,9 +57,9 @@
         world.group.ranks[5].held = world.group.step + 1
         world.kill_agent(5)
         world.network.freeze(world.engine_address(5), True)
-        before = world.network.messages
+        before = world.network.call_count
         await anyio.sleep(6)
-        assert (world.network.messages - before) / 6 < STALLED_CALLS_PER_SECOND * 40
+        assert (world.network.call_count - before) / 6 < STALLED_CALLS_PER_SECOND * 40
         assert world.group.violations == []
 
-    in_group_world(scenario, 40, False, sets=1, experts=80)
+    run_in_group_world(scenario, 40, False, sets=1, experts=80)
--- a/tests/ranks/test_map_changes.py
+++ b/tests/ranks/test_map_changes.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world, prefer
+from direct_builders import run_in_group_world, skew_demand
 
 from briarthread_common.messages.rank_messages import (
     ACCEPT_PATH,
@@ -46,20 +46,20 @@
         assert world.group.held_seconds == 0
         assert held_passes(world) == [None] * 4
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_map_follows_demand_that_shifts() -> None:
     async def scenario(world: GroupWorld) -> None:
         for hot in (3, 7, 10):
             await anyio.sleep(4)
-            prefer(world.group, hot)
+            skew_demand(world.group, hot)
             shifted = world.group.skew()
             await anyio.sleep(3)
             assert world.group.skew() < min(BALANCED_SKEW, shifted)
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_even_demand_causes_no_orders() -> None:
@@ -67,7 +67,7 @@
         await anyio.sleep(6)
         assert world.group.orders == []
 
-    in_group_world(scenario, skewed=False)
+    run_in_group_world(scenario, skewed=False)
 
 
 @pytest.mark.parametrize("order", ["prepare", "hold", "arm", "go"])
@@ -85,10 +85,10 @@
         await anyio.sleep(12)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
-        assert world.group.longest_hold < 4
+        assert world.group.longest_hold_seconds < 4
         assert world.group.skew() < BALANCED_SKEW
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize("order", ["prepare", "hold", "arm"])
@@ -99,14 +99,14 @@
         victim = world.planner()
         world.network.freeze(world.agent_address(victim), True)
         await anyio.sleep(7)
-        prefer(world.group, 5)
+        skew_demand(world.group, 5)
         world.network.freeze(world.agent_address(victim), False)
         await anyio.sleep(10)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
         assert world.group.skew() < BALANCED_SKEW
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize("skipped", range(12))
@@ -117,13 +117,13 @@
         with anyio.move_on_after(3):
             while len(world.group.orders) < skipped:
                 await anyio.sleep(0.001)
-        world.group.unanswered = 2
+        world.group.unanswered_orders = 2
         await anyio.sleep(12)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
         assert world.group.skew() < BALANCED_SKEW
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize("order", ["prepare", "hold", "arm", "go"])
@@ -131,13 +131,13 @@
     async def scenario(world: GroupWorld) -> None:
         with anyio.move_on_after(3):
             await wait_for_order(world, order)
-        world.group.form_anew()
+        world.group.reform()
         await anyio.sleep(10)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
         assert world.group.skew() < BALANCED_SKEW
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_agent_that_is_not_the_planner_dies_in_the_middle_of_a_change() -> None:
@@ -152,19 +152,19 @@
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_planning_continues_while_the_platform_is_unavailable() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        world.store.silent = True
-        prefer(world.group, 6)
+        world.store.unresponsive = True
+        skew_demand(world.group, 6)
         await anyio.sleep(4)
         assert world.group.skew() < BALANCED_SKEW
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_outdated_planner_is_refused() -> None:
@@ -178,7 +178,7 @@
         assert not refused.taken
         assert all(rank.armed is None for rank in world.group.ranks)
 
-    in_group_world(scenario, skewed=False)
+    run_in_group_world(scenario, skewed=False)
 
 
 def test_stand_in_detects_ranks_with_different_maps() -> None:
@@ -187,7 +187,7 @@
         await anyio.sleep(0.2)
         assert world.group.violations
 
-    in_group_world(scenario, skewed=False)
+    run_in_group_world(scenario, skewed=False)
 
 
 @pytest.mark.parametrize("late", [0.05, 0.15, 0.3, 0.6, 2.0])
@@ -198,10 +198,10 @@
     async def scenario(world: GroupWorld) -> None:
         with anyio.move_on_after(3):
             await wait_for_order(world, "prepare", 4)
-        world.group.late = late
-        world.group.unanswered_of = {"hold": 1}
+        world.group.late_seconds = late
+        world.group.unanswered_by_kind = {"hold": 1}
         with anyio.move_on_after(3):
-            while world.group.unanswered_of["hold"]:
+            while world.group.unanswered_by_kind["hold"]:
                 await anyio.sleep(0.001)
         if idle:
             world.group.serving = False
@@ -210,15 +210,15 @@
         await anyio.sleep(8)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
-        assert world.group.longest_hold < 0.45
+        assert world.group.longest_hold_seconds < 0.45
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_lost_orders_to_load_do_not_make_the_planner_start_over() -> None:
     async def scenario(world: GroupWorld) -> None:
-        world.group.unanswered_of = {"prepare": 6}
-        world.group.late = 5.0
+        world.group.unanswered_by_kind = {"prepare": 6}
+        world.group.late_seconds = 5.0
         with anyio.move_on_after(3):
             while world.group.skew() >= BALANCED_SKEW:
                 await anyio.sleep(0.05)
@@ -228,7 +228,7 @@
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize(("order", "longest"), [("hold", 0.3), ("arm", 2.0)])
@@ -240,28 +240,28 @@
         victim = world.planner()
         world.network.freeze(world.agent_address(victim), True)
         await anyio.sleep(5)
-        assert world.group.longest_hold < longest
+        assert world.group.longest_hold_seconds < longest
         world.network.freeze(world.agent_address(victim), False)
         await anyio.sleep(4)
         assert world.group.violations == []
         assert held_passes(world) == [None] * 4
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_group_is_hardly_delayed_while_every_tenth_order_is_lost() -> None:
     async def scenario(world: GroupWorld) -> None:
-        world.group.lost_share = 0.1
-        world.group.late = 5.0
+        world.group.unanswered_share = 0.1
+        world.group.late_seconds = 5.0
         for hot in range(8):
-            prefer(world.group, hot)
+            skew_demand(world.group, hot)
             await anyio.sleep(3)
         assert world.group.violations == []
         await wait_until_none_is_held(world)
         assert world.group.held_seconds < 0.15
         assert world.group.ranks[0].map_version >= 6
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize("order", ["prepare", "hold"])
@@ -274,7 +274,7 @@
         for address in addresses:
             world.network.freeze(address, True)
         await anyio.sleep(5)
-        assert world.group.longest_hold < 0.3
+        assert world.group.longest_hold_seconds < 0.3
         for address in addresses:
             world.network.freeze(address, False)
         await anyio.sleep(6)
@@ -282,25 +282,25 @@
         assert held_passes(world) == [None] * 4
         assert world.group.skew() < BALANCED_SKEW
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_another_rank_holds_the_pass_if_the_order_to_the_first_is_lost() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(3)
-        world.group.late = 8.0
-        world.group.unanswered_of["hold"] = 1
-        prefer(world.group, hot=7)
+        world.group.late_seconds = 8.0
+        world.group.unanswered_by_kind["hold"] = 1
+        skew_demand(world.group, hot=7)
         before = world.group.ranks[0].map_version
         started = anyio.current_time()
         with anyio.fail_after(20):
             while world.group.ranks[0].map_version == before:
                 await anyio.sleep(0.05)
-        assert world.group.unanswered_of["hold"] == 0
+        assert world.group.unanswered_by_kind["hold"] == 0
         assert anyio.current_time() - started < 2.4
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_promise_of_a_pass_and_its_withdrawal_exclude_each_other() -> None:
@@ -327,4 +327,4 @@
             group.ranks[2].held = None
             await anyio.sleep(0.2)
 
-    in_group_world(scenario, skewed=False)
+    run_in_group_world(scenario, skewed=False)
--- a/tests/ranks/test_reformed_groups.py
+++ b/tests/ranks/test_reformed_groups.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world
+from direct_builders import run_in_group_world
 
 from briarthread_standins.direct_agents import GroupWorld
 
@@ -21,7 +21,7 @@
     """Break the group and restart it with the first map after some time."""
     world.group.serving = False
     await anyio.sleep(seconds)
-    world.group.form_anew()
+    world.group.reform()
     world.group.serving = True
 
 
@@ -43,7 +43,7 @@
         assert await seconds_to_good_map(world) < GOOD_MAP_SECONDS
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 @pytest.mark.parametrize("ranks", [3, 6, 8])
@@ -57,7 +57,7 @@
         assert world.group.skew() <= 1.1 * balanced_skew
         assert world.group.violations == []
 
-    in_group_world(scenario, ranks)
+    run_in_group_world(scenario, ranks)
 
 
 def test_planner_that_takes_over_during_an_outage_knows_the_demand() -> None:
@@ -71,7 +71,7 @@
         assert await seconds_to_good_map(world) < GOOD_MAP_SECONDS
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_disconnected_agents_do_not_take_over_the_planner_role() -> None:
@@ -89,4 +89,4 @@
         assert world.planner() == planner
         assert world.agents[planner].planner.role.is_held()
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
--- a/tests/ranks/test_several_groups.py
+++ b/tests/ranks/test_several_groups.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world, prefer
+from direct_builders import run_in_group_world, skew_demand
 
 from briarthread_common.messages.rank_messages import ArmRequest, RankQuery
 from briarthread_standins.direct_agents import GroupWorld
@@ -31,7 +31,7 @@
             assert_better_than(group, skew)
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=sizes)
+    run_in_group_world(scenario, sizes=sizes)
 
 
 @pytest.mark.parametrize("sizes", SIZES)
@@ -39,7 +39,7 @@
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         versions_before = [group.ranks[0].map_version for group in world.groups[:-1]]
-        prefer(world.groups[-1], hot=6)
+        skew_demand(world.groups[-1], hot=6)
         before = world.groups[-1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[-1], before)
@@ -49,7 +49,7 @@
         )
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=sizes)
+    run_in_group_world(scenario, sizes=sizes)
 
 
 def test_only_the_group_whose_planner_is_frozen_gets_another_planner() -> None:
@@ -60,7 +60,7 @@
         world.network.freeze(world.agent_address(frozen), True)
         await anyio.sleep(10)
         world.network.freeze(world.agent_address(frozen), False)
-        prefer(world.groups[0], hot=6)
+        skew_demand(world.groups[0], hot=6)
         before = world.groups[0].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[0], before)
@@ -68,20 +68,20 @@
         assert world.planner(world.groups[1]) == other
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=(4, 4))
+    run_in_group_world(scenario, sizes=(4, 4))
 
 
 def test_stalled_group_does_not_affect_the_maps_of_another() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
         world.groups[0].serving = False
-        prefer(world.groups[1], hot=6)
+        skew_demand(world.groups[1], hot=6)
         before = world.groups[1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[1], before)
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=(4, 4))
+    run_in_group_world(scenario, sizes=(4, 4))
 
 
 @pytest.mark.parametrize("platform_unavailable", [False, True])
@@ -90,12 +90,12 @@
 ) -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
-        world.store.silent = platform_unavailable
+        world.store.unresponsive = platform_unavailable
         left, joined = world.groups
         mover = next(n for n in range(5) if n != world.planner(left))
         world.move_rank(mover, joined)
         for group in world.groups:
-            prefer(group, hot=6)
+            skew_demand(group, hot=6)
         before = [group.skew() for group in world.groups]
         await anyio.sleep(2 * MAP_SECONDS)
         for group, skew in zip(world.groups, before, strict=True):
@@ -103,7 +103,7 @@
             assert {rank.map_version for rank in group.ranks} != {0}
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=(5, 4))
+    run_in_group_world(scenario, sizes=(5, 4))
 
 
 def test_planner_whose_rank_changes_its_group_loses_the_role_to_another() -> None:
@@ -113,7 +113,7 @@
         moved, stays = world.planner(left), world.planner(joined)
         assert moved is not None
         world.move_rank(moved, joined)
-        prefer(left, hot=6)
+        skew_demand(left, hot=6)
         before = left.skew()
         await anyio.sleep(12)
         assert world.planner(left) not in (None, moved)
@@ -121,19 +121,19 @@
         assert_better_than(left, before)
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=(4, 4))
+    run_in_group_world(scenario, sizes=(4, 4))
 
 
 def test_group_formed_again_under_its_name_gets_a_better_map_again() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(MAP_SECONDS)
-        world.groups[1].form_anew()
+        world.groups[1].reform()
         before = world.groups[1].skew()
         await anyio.sleep(MAP_SECONDS)
         assert_better_than(world.groups[1], before)
         assert_one_map_per_pass(world)
 
-    in_group_world(scenario, sizes=(4, 4))
+    run_in_group_world(scenario, sizes=(4, 4))
 
 
 def test_agent_accepts_no_order_from_another_groups_planner() -> None:
@@ -149,4 +149,4 @@
         assert not (await controller.arm(order)).taken
         assert world.groups[0].ranks[0].armed is None
 
-    in_group_world(scenario, skewed=False, sizes=(4, 4))
+    run_in_group_world(scenario, skewed=False, sizes=(4, 4))
--- a/tests/ranks/test_slow_ranks.py
+++ b/tests/ranks/test_slow_ranks.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world
+from direct_builders import run_in_group_world
 
 from briarthread_standins.direct_agents import SERVICE, GroupWorld
 
@@ -31,10 +31,10 @@
         assert usable_ranks(world) == [
             name for name in ALL_RANKS if name != f"rank-{slow}"
         ]
-        assert world.group.work(slow) < 1.5 / SLOW_PACE
+        assert world.group.relative_load(slow) < 1.5 / SLOW_PACE
         assert world.group.violations == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_rank_that_is_no_longer_slow_is_used_again() -> None:
@@ -45,9 +45,9 @@
         await anyio.sleep(3)
         assert usable_ranks(world) == ALL_RANKS
         await anyio.sleep(3)
-        assert world.group.work(1) > 0.5
+        assert world.group.relative_load(1) > 0.5
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_slow_ranks_reported_by_a_dead_planner_expire() -> None:
@@ -60,7 +60,7 @@
         await anyio.sleep(3)
         assert usable_ranks(world) == ALL_RANKS
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_group_in_which_all_ranks_are_slow_is_used_unchanged() -> None:
@@ -70,4 +70,4 @@
         await anyio.sleep(4)
         assert usable_ranks(world) == ALL_RANKS
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
--- a/tests/ranks/test_unresponsive_agents.py
+++ b/tests/ranks/test_unresponsive_agents.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from direct_builders import in_group_world, prefer
+from direct_builders import run_in_group_world, skew_demand
 
 from briarthread_standins.direct_agents import GroupWorld
 
@@ -42,31 +42,31 @@
                 world.network.freeze(world.agent_address(number), True)
             else:
                 world.kill_agent(number)
-        prefer(world.group, hot=6)
+        skew_demand(world.group, hot=6)
         before = world.group.skew()
         await anyio.sleep(MAP_SECONDS)
         assert world.group.skew() < 1 + 0.6 * (before - 1)
         assert world.group.violations == []
-        assert world.group.longest_hold < 0.3
+        assert world.group.longest_hold_seconds < 0.3
 
-    in_group_world(scenario, ranks=6)
+    run_in_group_world(scenario, ranks=6)
 
 
 def test_agent_that_dies_after_the_pass_is_held_does_not_stop_the_group() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(1)
         holds = world.group.orders.count("hold")
-        prefer(world.group, hot=6)
+        skew_demand(world.group, hot=6)
         with anyio.fail_after(20):
             while world.group.orders.count("hold") == holds:
                 await anyio.sleep(0.002)
         world.kill_agent(ranks_without_planner(world, 4)[-1])
         await anyio.sleep(MAP_SECONDS)
         assert world.group.violations == []
-        assert world.group.longest_hold < 0.7
+        assert world.group.longest_hold_seconds < 0.7
         assert [rank.held for rank in world.group.ranks] == [None] * 6
 
-    in_group_world(scenario, ranks=6)
+    run_in_group_world(scenario, ranks=6)
 
 
 def test_role_of_a_dead_planner_is_taken_over_within_seconds() -> None:
@@ -75,13 +75,13 @@
         world.kill_agent(world.planner())
         await anyio.sleep(4.5)
         assert world.planner() is not None
-        prefer(world.group, hot=6)
+        skew_demand(world.group, hot=6)
         before = world.group.skew()
         await anyio.sleep(MAP_SECONDS)
         assert world.group.skew() < 1 + 0.6 * (before - 1)
         assert world.group.violations == []
 
-    in_group_world(scenario, ranks=6)
+    run_in_group_world(scenario, ranks=6)
 
 
 def test_map_does_not_change_while_a_rank_has_no_engine() -> None:
@@ -91,13 +91,13 @@
         world.kill_agent(gone)
         world.network.freeze(world.engine_address(gone), True)
         await anyio.sleep(2)
-        prefer(world.group, hot=6)
+        skew_demand(world.group, hot=6)
         versions = {rank.map_version for rank in world.group.ranks}
         await anyio.sleep(MAP_SECONDS)
         assert {rank.map_version for rank in world.group.ranks} == versions
         assert world.group.violations == []
 
-    in_group_world(scenario, ranks=6)
+    run_in_group_world(scenario, ranks=6)
 
 
 async def freeze_planner_after_its_promise(
@@ -105,7 +105,7 @@
 ) -> None:
     """Freeze the planner's instance as soon as a pass is promised."""
     promised = [agent.controller.promised_pass for agent in world.agents.values()]
-    prefer(world.group, hot)
+    skew_demand(world.group, hot)
     with anyio.fail_after(20):
         while [
             agent.controller.promised_pass for agent in world.agents.values()
@@ -134,7 +134,7 @@
         assert world.group.violations == []
         assert not any(rank.held for rank in world.group.ranks)
 
-    in_group_world(scenario, ranks=30, sets=2, experts=60)
+    run_in_group_world(scenario, ranks=30, sets=2, experts=60)
 
 
 @pytest.mark.parametrize(("ranks", "experts"), [(4, 12), (30, 60)])
@@ -144,22 +144,22 @@
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(ORDERS_KNOWN_SECONDS)
         await freeze_planner_after_its_promise(world, 5.0)
-        assert world.group.longest_hold < MAX_HOLD_SECONDS
+        assert world.group.longest_hold_seconds < MAX_HOLD_SECONDS
         await anyio.sleep(MAP_SECONDS)
         assert world.group.violations == []
         assert not any(rank.held for rank in world.group.ranks)
         assert {rank.map_version for rank in world.group.ranks} != {0}
 
-    in_group_world(scenario, ranks=ranks, experts=experts)
+    run_in_group_world(scenario, ranks=ranks, experts=experts)
 
 
 def test_promise_is_not_revoked_once_a_rank_may_be_armed() -> None:
     async def scenario(world: GroupWorld) -> None:
         await anyio.sleep(ORDERS_KNOWN_SECONDS)
-        world.group.late = 1.5
-        world.group.unanswered_of["arm"] = 1
-        arms = world.group.unanswered_of
-        prefer(world.group, hot=6)
+        world.group.late_seconds = 1.5
+        world.group.unanswered_by_kind["arm"] = 1
+        arms = world.group.unanswered_by_kind
+        skew_demand(world.group, hot=6)
         with anyio.fail_after(20):
             while arms["arm"]:
                 await anyio.sleep(0.0005)
@@ -174,7 +174,7 @@
         assert world.group.violations == []
         assert not any(rank.held for rank in world.group.ranks)
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_planner_resumed_after_a_freeze_arms_no_rank_for_a_revoked_promise() -> None:
@@ -187,4 +187,4 @@
             assert world.group.violations == []
             assert not any(rank.held for rank in world.group.ranks)
 
-    in_group_world(scenario, ranks=6)
+    run_in_group_world(scenario, ranks=6)
--- a/tests/scenarios/test_promises.py
+++ b/tests/scenarios/test_promises.py
@@ -15,7 +15,7 @@
 from briarthread_common.text.text_store import Accepted, ApplyResult
 from briarthread_entry.maps.coordinator import Coordinator
 from briarthread_standins.rank_group import RankGroup
-from briarthread_standins.world import Answer, World
+from briarthread_standins.world import CallerResponse, World
 
 scenarios("promises.feature")
 
@@ -30,7 +30,7 @@
 
     live: LiveWorld | None = None
     group: RankGroup | None = None
-    answers: dict[str, Answer] = field(default_factory=dict)
+    answers: dict[str, CallerResponse] = field(default_factory=dict)
     applied: list[ApplyResult] = field(default_factory=list)
     seen: dict[str, list[int]] = field(default_factory=dict)
     before: int = 0
@@ -96,9 +96,11 @@
 @when("a planner dies after one rank got its confirmation")
 def planner_dies(story: Story) -> None:
     world = story.world
-    world.network.late = 10_000
+    world.network.late_seconds = 10_000
     for name in RANKS[1:]:
-        world.network.delay[f"{CONFIRM_PATH}@{world.instances[name].address}"] = 9
+        world.network.delayed_calls[
+            f"{CONFIRM_PATH}@{world.instances[name].address}"
+        ] = 9
 
     async def place() -> None:
         entry = world.entry("entry-0")
@@ -115,14 +117,14 @@
 @when("that rank is cut off before the others ask")
 def rank_cut_off(story: Story) -> None:
     address = story.world.instances[RANKS[0]].address
-    story.live.do(story.world.network.freeze, address, True)
-    story.live.let_pass(5.0)
+    story.live.call(story.world.network.freeze, address, True)
+    story.live.advance(5.0)
 
 
 @then("the group waits")
 def group_waits(story: Story) -> None:
     before = story.group.step
-    story.live.let_pass(5.0)
+    story.live.advance(5.0)
     assert story.group.step == before
 
 
@@ -130,14 +132,14 @@
 def everything_mended(story: Story) -> None:
     world = story.world
     for row in world.instances.values():
-        story.live.do(world.network.freeze, row.address, False)
-    story.live.do(world.network.heal)
+        story.live.call(world.network.freeze, row.address, False)
+    story.live.call(world.network.heal)
 
 
 @then("the group steps on the new map")
 def group_steps(story: Story) -> None:
     before = story.group.step
-    story.live.let_pass(5.0)
+    story.live.advance(5.0)
     assert story.group.step > before
     assert {engine.version for engine in story.group.engines} == {NEW_MAP}
 
@@ -182,14 +184,14 @@
                 tasks.start_soon(story.book, f"b{number}", ENTRY, 0, key, "diary", 1.2)
 
     story.live.run(book_many())
-    story.live.let_pass(30.0)
+    story.live.advance(30.0)
 
 
 @then("every booking told not-run has not run")
 def not_run_is_true(story: Story) -> None:
     for name, answer in story.answers.items():
         if answer.outcome == "not-run":
-            assert story.world.runs(name) == 0
+            assert story.world.run_count(name) == 0
 
 
 @then("some were told not-run, with a time to come back")
@@ -203,9 +205,9 @@
 def holder_replaced(story: Story) -> None:
     story.live.run(story.book("booking", key="k"))
     holder = next(n for n, s in story.world.services.items() if s.runs["booking"])
-    story.live.do(story.world.kill, holder)
-    story.live.do(story.world.start, holder)
-    story.live.let_pass(4.0)
+    story.live.call(story.world.kill, holder)
+    story.live.call(story.world.start, holder)
+    story.live.advance(4.0)
 
 
 @when("the same booking is asked again through the other data centre")
@@ -220,17 +222,17 @@
 
 @then("the booking ran once")
 def ran_once(story: Story) -> None:
-    assert story.world.runs("booking") == 1
+    assert story.world.run_count("booking") == 1
 
 
 @when("the platform's list says that a target leaves")
 def list_says_leaving(story: Story) -> None:
-    story.live.do(story.world.mark_leaving, "cards-palermo-0")
+    story.live.call(story.world.mark_leaving, "cards-palermo-0")
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
 def seconds_pass(story: Story, seconds: int) -> None:
-    story.live.let_pass(float(seconds))
+    story.live.advance(float(seconds))
 
 
 @when("many callers ask for cards")
@@ -282,7 +284,7 @@
     return [
         name
         for name in (ENTRY, OTHER_ENTRY)
-        if name in world.members and not world.entry(name).ready()
+        if name in world.processes and not world.entry(name).ready()
     ]
 
 
@@ -297,7 +299,7 @@
 def operators_race(story: Story) -> None:
     world = story.world
     for other in ("palermo", "platform"):
-        world.network.cut("catania", other)
+        world.network.partition("catania", other)
 
     async def apply(queue: int) -> None:
         text = build_text(SITES, diary_options=f"queue = {queue}\n")
--- a/tests/spread/test_start.py
+++ b/tests/spread/test_start.py
@@ -1,6 +1,6 @@
 """Start of an agent that reads its feeds from an entry."""
 
-from direct_builders import in_group_world
+from direct_builders import run_in_group_world
 
 from briarthread_standins.direct_agents import GroupWorld
 
@@ -22,7 +22,7 @@
         assert all(feed.number for feed in agent.feeds.all())
         assert reads == []
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
 
 
 def test_agent_without_a_running_seed_reads_the_store() -> None:
@@ -33,4 +33,4 @@
         await agent.replicator.started.wait()
         assert all(feed.number for feed in agent.feeds.all())
 
-    in_group_world(scenario)
+    run_in_group_world(scenario)
--- a/tests/world/test_at_most_once.py
+++ b/tests/world/test_at_most_once.py
@@ -1,16 +1,16 @@
 """A request that is not idempotent runs at most once, whatever fails."""
 
 import anyio
-from builders import in_world
+from builders import run_in_world
 from fuzz.faults import ATTEMPTS
 
 from briarthread_standins.platform_app import PlatformMode
-from briarthread_standins.world import Answer, World
+from briarthread_standins.world import CallerResponse, World
 
 ENTRIES = ("entry-palermo-0", "entry-catania-0", "entry-messina-0")
 
 
-async def send_booking(world: World, entry: str, key: str, body: str) -> Answer:
+async def send_booking(world: World, entry: str, key: str, body: str) -> CallerResponse:
     return await world.call(entry, "diary/b", "salon-0", key, body.encode())
 
 
@@ -20,21 +20,21 @@
 
 def test_lost_answer_is_replayed_without_a_second_run() -> None:
     async def scenario(world: World) -> None:
-        world.network.lose_answers[ATTEMPTS] = 1
+        world.network.lost_responses[ATTEMPTS] = 1
         answer = await send_booking(world, ENTRIES[0], "k", "one")
         assert answer.status == 200
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_duplicated_attempt_runs_once() -> None:
     async def scenario(world: World) -> None:
-        world.network.duplicate[ATTEMPTS] = 1
+        world.network.duplicated_calls[ATTEMPTS] = 1
         await send_booking(world, ENTRIES[0], "k", "one")
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_key_of_killed_holder_gets_unknown_outcome_with_retry_after() -> None:
@@ -48,9 +48,9 @@
         assert again.status == 503
         assert again.outcome == "unknown"
         assert int(again.headers["retry-after"]) > 0
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_share_of_dead_holder_is_served_after_quarantine() -> None:
@@ -58,13 +58,13 @@
         await send_booking(world, ENTRIES[0], "k", "one")
         name = holder_of(world, "one")
         world.kill(name)
-        world.platform.state.unlist([name])
+        world.platform.state.remove_instances([name])
         await anyio.sleep(100)
         later = await send_booking(world, ENTRIES[0], "k2", "two")
         assert later.status == 200
-        assert world.runs("two") == 1
+        assert world.run_count("two") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_keyless_bookings_are_served_while_shares_are_quarantined() -> None:
@@ -76,7 +76,7 @@
         answer = await world.call(ENTRIES[0], "diary/b", "salon-0", body=b"new")
         assert answer.status == 200
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_bookings_are_served_during_ten_minute_platform_outage() -> None:
@@ -87,31 +87,31 @@
             answer = await send_booking(world, ENTRIES[0], f"k{minute}", f"b{minute}")
             assert answer.status == 200
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_bookings_are_served_in_isolated_data_centre() -> None:
     async def scenario(world: World) -> None:
         for other in ("catania", "messina", "platform"):
-            world.network.cut("palermo", other)
+            world.network.partition("palermo", other)
         await anyio.sleep(60)
         answer = await send_booking(world, ENTRIES[0], "k", "one")
         assert answer.status == 200
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_key_held_in_unreachable_data_centre_is_unknown_at_once() -> None:
     async def scenario(world: World) -> None:
-        world.network.cut("palermo", "catania")
+        world.network.partition("palermo", "catania")
         start = world.clock.now()
         answer = await send_booking(world, ENTRIES[1], "k", "one")
         assert answer.outcome == "unknown"
         assert "retry-after" in answer.headers
         assert world.clock.now() - start < 5.0
-        assert world.runs("one") == 0
+        assert world.run_count("one") == 0
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_holder_confirms_shares_after_freeze() -> None:
@@ -125,7 +125,7 @@
         decisions = [event.decision for event in agent.events.ring]
         assert "confirmed" in decisions
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_leaving_holder_hands_over_records() -> None:
@@ -135,9 +135,9 @@
         again = await send_booking(world, ENTRIES[2], "k", "one")
         assert again.status == 200
         assert again.body == first.body
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_run_of_disconnected_caller_finishes_before_planned_stop() -> None:
@@ -149,9 +149,9 @@
         await world.stop(holder_of(world, "one"))
         again = await send_booking(world, ENTRIES[2], "k", "one")
         assert again.status == 200
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_inherited_share_stays_in_quarantine_after_hand_over() -> None:
@@ -166,16 +166,16 @@
         await world.stop(name)
         again = await send_booking(world, ENTRIES[1], "k", "one")
         assert again.outcome == "unknown"
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_run_in_progress_at_hand_over_is_answered_by_next_holder() -> None:
     async def scenario(world: World) -> None:
         for service in world.services.values():
             service.delay = 0.8
-        answers: list[Answer] = []
+        answers: list[CallerResponse] = []
 
         async def send(entry: str) -> None:
             answers.append(await send_booking(world, entry, "k", "one"))
@@ -187,6 +187,6 @@
             await anyio.sleep(0.5)
             tasks.start_soon(send, ENTRIES[2])
         assert [answer.status for answer in answers] == [200, 200]
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
--- a/tests/world/test_backoffs.py
+++ b/tests/world/test_backoffs.py
@@ -2,9 +2,9 @@
 
 import anyio
 import pytest
-from builders import in_world
+from builders import run_in_world
 
-from briarthread_standins.world import Answer, World
+from briarthread_standins.world import CallerResponse, World
 
 ENTRIES = tuple(f"entry-{name}-0" for name in ("palermo", "catania", "messina"))
 MAX_EARLY_REQUESTS = 2
@@ -15,9 +15,9 @@
 REQUESTS = 400
 
 
-async def send_requests(world: World, service: str) -> list[Answer]:
+async def send_requests(world: World, service: str) -> list[CallerResponse]:
     """Return the answers to requests sent through all entries in turn."""
-    answers: list[Answer] = []
+    answers: list[CallerResponse] = []
 
     async def send(number: int) -> None:
         entry = ENTRIES[number % len(ENTRIES)]
@@ -48,7 +48,7 @@
         assert refusals.refused
         assert refusals.max_early_requests() <= MAX_EARLY_REQUESTS
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_other_targets_serve_callers_during_a_backoff() -> None:
@@ -58,7 +58,7 @@
         refused = [answer for answer in answers if answer.status != 200]
         assert len(refused) <= MAX_REFUSED
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_target_gets_its_portion_again_after_the_backoff() -> None:
@@ -67,7 +67,7 @@
         await send_requests(world, "cards")
         assert world.services["cards-palermo-0"].runs.total() >= 0.1 * REQUESTS
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_retry_after_is_the_end_of_the_first_backoff_if_all_targets_back_off() -> None:
@@ -85,4 +85,4 @@
         for name, service in world.services.items():
             assert service.refusals.max_early_requests() <= MAX_EARLY_REQUESTS, name
 
-    in_world(scenario)
+    run_in_world(scenario)
--- a/tests/world/test_leaving.py
+++ b/tests/world/test_leaving.py
@@ -1,9 +1,9 @@
 """A leaving target gets no new attempts; a planned stop fails no request."""
 
 import anyio
-from builders import in_world
+from builders import run_in_world
 
-from briarthread_standins.world import DRAIN_NOTICE, Answer, World
+from briarthread_standins.world import DRAIN_NOTICE, CallerResponse, World
 
 ENTRY = "entry-palermo-0"
 PROPAGATION_SECONDS = 3.0
@@ -12,8 +12,8 @@
 
 async def send_requests(
     world: World, service: str, count: int, keyed: bool = False
-) -> list[Answer]:
-    answers: list[Answer] = []
+) -> list[CallerResponse]:
+    answers: list[CallerResponse] = []
 
     async def send(number: int) -> None:
         key = f"k{number}" if keyed else None
@@ -38,7 +38,7 @@
         await send_requests(world, "cards", 30)
         assert world.services["cards-palermo-0"].runs.total() == before
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_target_listed_as_leaving_gets_no_new_attempts() -> None:
@@ -49,7 +49,7 @@
         await send_requests(world, "cards", 30)
         assert world.services["cards-palermo-0"].runs.total() == before
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_unresponsive_target_gets_no_new_attempts_after_a_timeout() -> None:
@@ -63,12 +63,12 @@
             == 0
         )
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_planned_stop_of_every_agent_in_turn_fails_no_request() -> None:
     async def scenario(world: World) -> None:
-        answers: list[Answer] = []
+        answers: list[CallerResponse] = []
 
         async def send_all(service: str, keyed: bool) -> None:
             answers.extend(await send_requests(world, service, 400, keyed))
@@ -89,14 +89,14 @@
         failed = [answer for answer in answers if answer.status != 200]
         assert failed == []
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_stopping_entry_answers_its_requests_in_flight() -> None:
     async def scenario(world: World) -> None:
         for service in world.services.values():
             service.delay = 0.5
-        answers: list[Answer] = []
+        answers: list[CallerResponse] = []
 
         async def send() -> None:
             answers.append(await world.call(ENTRY, "diary/x", "salon-0", "k", b"b"))
@@ -107,7 +107,7 @@
             await world.stop(ENTRY)
         assert [answer.status for answer in answers] == [200]
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_stopping_agent_is_unusable_while_still_connected() -> None:
@@ -120,7 +120,7 @@
             assert state.connected
             assert not state.usable(world.clock.now())
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_stopped_agent_does_not_wait_for_its_load_streams() -> None:
@@ -129,7 +129,7 @@
         await world.stop("cards-palermo-0")
         assert world.clock.now() - start < 2 * DRAIN_NOTICE
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_agent_refuses_new_attempts_once_its_target_announces_a_shutdown() -> None:
@@ -145,7 +145,7 @@
         assert {answer.status for answer in answers} == {200}
         assert target.runs.total() == before
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 # Guards against a second run of a key after its holder stops accepting attempts.
@@ -160,4 +160,4 @@
         assert {answer.status for answer in again} == {200}
         assert [a.body for a in again] == [a.body for a in answers if a.status == 200]
 
-    in_world(scenario)
+    run_in_world(scenario)
--- a/tests/world/test_map_agreement.py
+++ b/tests/world/test_map_agreement.py
@@ -38,8 +38,8 @@
         async with anyio.create_task_group() as tasks:
             world, group = await start_group(tasks)
             address = world.instances[RANKS[0]].address
-            world.network.late = DELAY_SECONDS
-            world.network.delay[f"{CONFIRM_PATH}@{address}"] = 1
+            world.network.late_seconds = DELAY_SECONDS
+            world.network.delayed_calls[f"{CONFIRM_PATH}@{address}"] = 1
             await activate_map(world, CONFIRM_SECONDS)
             group.engines[0].restart()
             group.engines[0].staged = NEW_MAP
--- a/tests/world/test_planning.py
+++ b/tests/world/test_planning.py
@@ -1,7 +1,7 @@
 """A group's map is planned, activated by all ranks, and recorded in the event log."""
 
 import anyio
-from builders import build_text, in_world
+from builders import build_text, run_in_world
 
 from briarthread_common.messages.expert_map import even_map
 from briarthread_common.placement.rank_loads import map_skew
@@ -59,7 +59,7 @@
         decisions = [e.decision for e in world.entry("entry-palermo-0").events.ring]
         assert "map-moved" in decisions
 
-    in_world(scenario, text=TEXT, data_centres=("palermo",), targets=1)
+    run_in_world(scenario, text=TEXT, data_centres=("palermo",), targets=1)
 
 
 def test_platform_outage_stops_map_changes_but_not_steps() -> None:
@@ -72,4 +72,4 @@
         assert {engine.version for engine in group.engines} == {1}
         assert group.step > before
 
-    in_world(scenario, text=TEXT, data_centres=("palermo",), targets=1)
+    run_in_world(scenario, text=TEXT, data_centres=("palermo",), targets=1)
--- a/tests/world/test_serving.py
+++ b/tests/world/test_serving.py
@@ -2,12 +2,12 @@
 
 import anyio
 import msgspec
-from builders import in_world
+from builders import run_in_world
 
-from briarthread_standins.world import Answer, World
+from briarthread_standins.world import CallerResponse, World
 
 
-def problem(answer: Answer) -> dict[str, object]:
+def problem(answer: CallerResponse) -> dict[str, object]:
     return msgspec.json.decode(answer.body)
 
 
@@ -21,9 +21,9 @@
         )
         assert first.status == 200
         assert again.body == first.body
-        assert world.runs("one") == 1
+        assert world.run_count("one") == 1
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_same_key_of_another_account_is_another_request() -> None:
@@ -34,7 +34,7 @@
             )
             assert msgspec.json.decode(answer.body)["body"] == account
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_key_reused_for_another_body_is_refused() -> None:
@@ -45,9 +45,9 @@
         )
         assert other.status == 422
         assert problem(other)["outcome"] == "not-run"
-        assert world.runs("two") == 0
+        assert world.run_count("two") == 0
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_wrong_key_learns_nothing_of_services() -> None:
@@ -57,7 +57,7 @@
         assert known.status == unknown.status == 401
         assert known.body == unknown.body
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_unknown_service_and_bad_timeout_are_refused_as_not_run() -> None:
@@ -67,7 +67,7 @@
         assert (unknown.status, late.status) == (404, 400)
         assert unknown.outcome == late.outcome == "not-run"
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_oversized_body_is_refused() -> None:
@@ -77,7 +77,7 @@
         )
         assert answer.status == 413
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_service_without_local_target_is_served_by_another_data_centre() -> None:
@@ -88,4 +88,4 @@
         answer = await world.call("entry-palermo-0", "cards/c", "salon-0", body=b"c")
         assert answer.status == 200
 
-    in_world(scenario)
+    run_in_world(scenario)
--- a/tests/world/test_text_in_force.py
+++ b/tests/world/test_text_in_force.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from builders import build_text, in_world
+from builders import build_text, run_in_world
 
 from briarthread_common.core.exceptions import ChecksFailed, PlatformError
 from briarthread_common.text.text_store import Accepted, Lost
@@ -19,7 +19,7 @@
         await anyio.sleep(SECONDS)
         assert set(world.text_versions().values()) == {2}
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_loser_of_a_race_is_told_and_nothing_of_its_text_is_in_force() -> None:
@@ -41,15 +41,15 @@
         queue = world.entry("entry-palermo-0").text.current().services["diary"].queue
         assert f"queue = {queue}\n" in lost.sections["service diary"]
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_answer_lost_after_the_write_is_settled_by_reading_back() -> None:
     async def scenario(world: World) -> None:
-        world.network.lose_answers["/v1/table/transactions"] = 1
+        world.network.lost_responses["/v1/table/transactions"] = 1
         assert await world.apply(CHANGED, base=1) == Accepted(2)
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_unreachable_platform_is_an_error_and_changes_nothing() -> None:
@@ -60,13 +60,13 @@
         await anyio.sleep(SECONDS)
         assert set(world.text_versions().values()) == {1}
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_data_centre_cut_off_catches_up_when_healed() -> None:
     async def scenario(world: World) -> None:
         for other in ("palermo", "messina", "platform"):
-            world.network.cut("catania", other)
+            world.network.partition("catania", other)
         await world.apply(CHANGED, base=1)
         await anyio.sleep(30)
         assert world.text_versions()["entry-catania-0"] == 1
@@ -74,17 +74,17 @@
         await anyio.sleep(SECONDS)
         assert set(world.text_versions().values()) == {2}
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_data_centre_without_platform_hears_of_a_text_from_another() -> None:
     async def scenario(world: World) -> None:
-        world.network.cut("catania", "platform")
+        world.network.partition("catania", "platform")
         await world.apply(CHANGED, base=1)
         await anyio.sleep(19)
         assert set(world.text_versions().values()) == {2}
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_entries_replaced_in_an_outage_take_the_text_from_agents() -> None:
@@ -93,13 +93,13 @@
         await anyio.sleep(SECONDS)
         world.platform.state.mode = PlatformMode.DOWN
         for other in ("palermo", "catania"):
-            world.network.cut("messina", other)
+            world.network.partition("messina", other)
         world.kill("entry-messina-0")
         world.start("entry-messina-0")
         await anyio.sleep(SECONDS)
         assert world.text_versions()["entry-messina-0"] == 2
 
-    in_world(scenario)
+    run_in_world(scenario)
 
 
 def test_change_that_would_move_remembered_keys_is_refused() -> None:
@@ -108,4 +108,4 @@
         with pytest.raises(ChecksFailed, match=r"text\.E015"):
             await world.apply(moved, base=1)
 
-    in_world(scenario)
+    run_in_world(scenario)
--- a/tests/world/test_whole_answers.py
+++ b/tests/world/test_whole_answers.py
@@ -2,7 +2,7 @@
 
 import anyio
 import pytest
-from builders import in_world
+from builders import run_in_world
 
 from briarthread_common.http.app import AnswerAborted, App, Route
 from briarthread_common.http.call import Call
@@ -28,7 +28,7 @@
                 assert answer.outcome == "unknown"
         assert statuses == {200, 504}
 
-    in_world(scenario, data_centres=("palermo",), targets=1)
+    run_in_world(scenario, data_centres=("palermo",), targets=1)
 
 
 def test_repeatable_call_that_was_begun_is_never_told_not_run() -> None:
@@ -37,10 +37,10 @@
         answer = await world.call(
             "entry-palermo-0", "cards/x", "salon-0", body=b"x", timeout=4.0
         )
-        assert world.runs("x") == 1
+        assert world.run_count("x") == 1
         assert answer.outcome == "unknown"
 
-    in_world(scenario, data_centres=("palermo",), targets=1)
+    run_in_world(scenario, data_centres=("palermo",), targets=1)
 
 
 def test_refusal_after_an_attempt_that_may_have_run_is_not_called_not_run() -> None:
@@ -62,10 +62,10 @@
             tasks.start_soon(ask)
             await anyio.sleep(0.5)
             world.kill(first)
-        assert world.runs("x") == 1
+        assert world.run_count("x") == 1
         assert answers[0].outcome == "unknown"
 
-    in_world(scenario, data_centres=("palermo",), targets=2)
+    run_in_world(scenario, data_centres=("palermo",), targets=2)
 
 
 @pytest.mark.parametrize("chunks", [[b"x" * 6_000_000], [b"part", None]])
@@ -90,4 +90,4 @@
         assert answer.outcome == "unknown"
         assert b"part" not in answer.body
 
-    in_world(scenario, data_centres=("palermo",), targets=1)
+    run_in_world(scenario, data_centres=("palermo",), targets=1)
