--- a/packages/measure/src/briarthread_measure/control_run.py
+++ b/packages/measure/src/briarthread_measure/control_run.py
@@ -44,7 +44,7 @@
 )
 from briarthread_measure.line_fit import fit_line
 from briarthread_measure.process_usage import loopback_bytes, read_usage
-from briarthread_standins.deployment import executable, wait_until
+from briarthread_standins.deployment import installed_command, wait_until
 
 PLATFORM = "127.0.0.1:19000"
 ENTRY = "127.0.0.1:19001"
@@ -227,7 +227,7 @@
         "[logs]\nlevel = ERROR\n",
         encoding="utf-8",
     )
-    return subprocess.Popen([*executable("briarthread"), "serve", str(settings)])
+    return subprocess.Popen([*installed_command("briarthread"), "serve", str(settings)])
 
 
 def show(name: str, cost: Cost) -> None:
@@ -318,7 +318,7 @@
         "[logs]\nlevel = ERROR\n",
         encoding="utf-8",
     )
-    return subprocess.Popen([*executable("briarthread-agent"), str(settings)])
+    return subprocess.Popen([*installed_command("briarthread-agent"), str(settings)])
 
 
 def start_watchers(count: int) -> subprocess.Popen:
--- a/packages/standins/src/briarthread_standins/__init__.py
+++ b/packages/standins/src/briarthread_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems of briarthread; never shipped."""
+"""Stand-ins for the external systems that briarthread uses; not part of a release."""
--- a/packages/standins/src/briarthread_standins/caller_results.py
+++ b/packages/standins/src/briarthread_standins/caller_results.py
@@ -1,11 +1,11 @@
-"""What callers got."""
+"""Results of a load from the callers' point of view."""
 
 from dataclasses import dataclass
 
 
 @dataclass
 class CallerResults:
-    """Count what became of the requests of a load."""
+    """Count the requests of a load by outcome; ``slowest_refusal`` is in seconds."""
 
     requests: int = 0
     in_time: int = 0
@@ -17,5 +17,5 @@
 
     @property
     def score(self) -> float:
-        """Return what the answers are worth, a late one half."""
+        """Return the share of responses in time, with late ones counted half."""
         return (self.in_time + 0.5 * self.late) / self.requests
--- a/packages/standins/src/briarthread_standins/crash_scenario.py
+++ b/packages/standins/src/briarthread_standins/crash_scenario.py
@@ -1,4 +1,4 @@
-"""A load beside a request that crashes its targets."""
+"""Description of a load with a request that crashes its targets."""
 
 from dataclasses import dataclass, replace
 
@@ -10,11 +10,12 @@
     """
     Describe a load; times are in seconds.
 
-    ``rate`` ordinary requests a second come to ``entries`` in three data centres, a
-    share ``alike`` of them the same in all they say. Every ``every`` seconds one comes
-    that crashes the target that begins it, which is back after ``down``; ``repeats``
-    times its caller asks again. ``kind`` is that of the route. ``kills`` targets, drawn
-    anew each second, crash by themselves.
+    ``rate`` ordinary requests per second arrive at ``entries`` in three data centres;
+    ``identical_share`` of them are identical. Every ``crash_interval`` seconds a
+    request arrives that crashes the target that starts it; the target restarts after
+    ``down_seconds``. Its caller retries it ``retries`` times, and waits for Retry-After
+    if it ``honours_retry_after``. ``kind`` is that of the route. Each second
+    ``crashes_per_second`` targets, chosen at random, crash by themselves.
     """
 
     entries: int = 3
@@ -42,4 +43,4 @@
     "ranks": CrashScenario(crash_interval=4.0, rate=8.0, seconds=40.0),
     "plain, 24 entries": replace(PLAIN_SERVICE, entries=24),
 }
-"""Days on which one request crashes its targets, again and again."""
+"""Scenarios in which one request crashes its targets repeatedly."""
--- a/packages/standins/src/briarthread_standins/deployment.py
+++ b/packages/standins/src/briarthread_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment on loopback, process by process, for demonstrations."""
+"""A deployment of real processes on the loopback interface, for demonstrations."""
 
 import subprocess
 import sys
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """Hold a started process and the address it listens on."""
+    """A started process and its listen address."""
 
     name: str
     address: str
@@ -26,10 +26,10 @@
 
 class Deployment:
     """
-    Start and stop the processes of several data centres on loopback.
+    Start and stop the processes of several data centres on the loopback interface.
 
-    ``services`` maps each service to the module of its stand-in; every data
-    centre gets the given numbers of entries and of targets a service.
+    ``services`` maps each service to the module of its stand-in; every data centre
+    gets the given numbers of entries and of targets per service.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.platform = ""
 
     def start(self) -> None:
-        """Start everything and wait until all of it answers."""
+        """Start all processes and register the instances."""
         self.platform = self._start_standin("platform", "platform_app")
         wait_until(lambda: self.get(self.platform, "/standin/counts"), "platform")
         for data_centre in self.data_centres:
@@ -70,15 +70,19 @@
         """Start one entry."""
         name = f"entry-{data_centre}-{number}"
         address = self._address(name)
-        settings = self._write(name, self._sections(name, data_centre, address))
+        settings = self._write_settings(
+            name, self._settings_text(name, data_centre, address)
+        )
         instance = Instance(name, data_centre, address, InstanceRole.ENTRY)
-        self._note(instance)
-        return self._start(name, address, ["briarthread", "serve", str(settings)])
+        self._record_instance(instance)
+        return self._start_process(
+            name, address, ["briarthread", "serve", str(settings)]
+        )
 
     def start_target(
         self, data_centre: str, service: str, module: str, number: int
     ) -> Process:
-        """Start one target with the agent before it."""
+        """Start one target with its agent."""
         name = f"{service}-{data_centre}-{number}"
         target = self.standins.get(name)
         if target is None:
@@ -91,19 +95,25 @@
     ) -> Process:
         """Start the agent of a target."""
         address = self._address(name)
-        text = self._sections(name, data_centre, address, f"service = {service}\n")
-        settings = self._write(name, f"{text}[target]\naddress = {target}\n")
-        self._note(Instance(name, data_centre, address, InstanceRole.TARGET, service))
-        return self._start(name, address, ["briarthread-agent", str(settings)])
+        text = self._settings_text(name, data_centre, address, f"service = {service}\n")
+        settings = self._write_settings(name, f"{text}[target]\naddress = {target}\n")
+        self._record_instance(
+            Instance(name, data_centre, address, InstanceRole.TARGET, service)
+        )
+        return self._start_process(name, address, ["briarthread-agent", str(settings)])
 
     def put_instances(self) -> None:
-        """Put all instances on the platform's list."""
+        """Register all instances with the platform."""
         rows = [asdict(row) for row in self.instances]
         self.post(self.platform, "/standin/instances", {"put": rows})
 
     def apply(self, text: Path) -> None:
-        """Apply a services text with the operator's command."""
-        command = [*executable("briarthread"), "apply", f"--platform={self.platform}"]
+        """Apply a services text with ``briarthread apply``."""
+        command = [
+            *installed_command("briarthread"),
+            "apply",
+            f"--platform={self.platform}",
+        ]
         subprocess.run([*command, "--by=demo", str(text)], check=True)
 
     def wait_until_ready(self) -> None:
@@ -113,24 +123,24 @@
 
     def wait_for_shares(self, services: list[str], shares: int) -> None:
         """
-        Wait until every share of some services has a holder, and all know it.
+        Wait until every share of some services has a holder that all processes know.
 
-        Entries of other data centres hear of the holders some seconds later,
-        and tell callers of a key that its holder is unreachable until then.
+        Entries of other data centres learn of the holders some seconds later and until
+        then refuse requests with a key because its holder is unreachable.
         """
 
-        def all_known() -> bool:
-            held = 0
+        def all_shares_known() -> bool:
+            held_shares = 0
             versions = set()
             for row in self.instances:
                 status = self.get(row.address, "/status")
                 versions.add(status["versions"]["shares"])
                 if row.service in services:
-                    held += len(status["shares"])
-            wanted = shares * len(services) * len(self.data_centres)
-            return held >= wanted and len(versions) == 1
+                    held_shares += len(status["shares"])
+            expected_shares = shares * len(services) * len(self.data_centres)
+            return held_shares >= expected_shares and len(versions) == 1
 
-        wait_until(all_known, "shares")
+        wait_until(all_shares_known, "shares")
 
     def stop(self) -> None:
         """Stop all processes gracefully, entries first."""
@@ -147,7 +157,7 @@
             process.handle.wait(STOP_TIMEOUT_SECONDS)
 
     def exit_codes(self) -> dict[str, int | None]:
-        """Return how each entry and agent exited."""
+        """Return the exit code of each entry and agent, ``None`` while it runs."""
         return {
             row.name: self.processes[row.name].handle.poll() for row in self.instances
         }
@@ -157,17 +167,17 @@
         return self.processes[f"entry-{data_centre}-{number}"].address
 
     def post(self, address: str, path: str, message: object) -> object:
-        """Send JSON and return the decoded answer."""
+        """Send a JSON message and return the decoded response."""
         body = msgspec.json.encode(message)
         response = httpcore.request("POST", f"http://{address}{path}", content=body)
         return msgspec.json.decode(response.content)
 
     def get(self, address: str, path: str) -> object:
-        """Fetch JSON."""
+        """Fetch a JSON document."""
         response = httpcore.request("GET", f"http://{address}{path}")
         return msgspec.json.decode(response.content)
 
-    def _sections(
+    def _settings_text(
         self, name: str, data_centre: str, address: str, more: str = ""
     ) -> str:
         return (
@@ -178,32 +188,32 @@
             f"[logs]\nlevel = {self.log_level}\n"
         )
 
-    def _write(self, name: str, text: str) -> Path:
+    def _write_settings(self, name: str, text: str) -> Path:
         path = self.folder / f"{name}.ini"
         path.write_text(text, encoding="utf-8")
         return path
 
     def _address(self, name: str) -> str:
-        known = self.processes.get(name)
-        if known is not None:
-            return known.address
+        process = self.processes.get(name)
+        if process is not None:
+            return process.address
         self.port += 1
         return f"127.0.0.1:{self.port}"
 
-    def _note(self, instance: Instance) -> None:
+    def _record_instance(self, instance: Instance) -> None:
         if instance not in self.instances:
             self.instances.append(instance)
 
     def _start_standin(self, name: str, module: str) -> str:
         address = self._address(name)
         command = [sys.executable, "-m", f"briarthread_standins.{module}", address]
-        self._start(name, address, command)
+        self._start_process(name, address, command)
         return address
 
-    def _start(self, name: str, address: str, command: list[str]) -> Process:
-        full = [*executable(command[0]), *command[1:]]
+    def _start_process(self, name: str, address: str, command: list[str]) -> Process:
+        full_command = [*installed_command(command[0]), *command[1:]]
         log = (self.folder / f"{name}.log").open("ab")
-        handle = subprocess.Popen(full, stderr=log, stdout=log)
+        handle = subprocess.Popen(full_command, stderr=log, stdout=log)
         process = Process(name, address, handle)
         self.processes[name] = process
         return process
@@ -215,14 +225,14 @@
             return False
 
 
-def executable(name: str) -> list[str]:
-    """Return the command of a binary installed beside this Python."""
+def installed_command(name: str) -> list[str]:
+    """Return the command line of a script installed next to the interpreter."""
     path = Path(sys.executable).parent / name
     return [str(path)] if path.exists() else [name]
 
 
 def wait_until(condition: object, what: str) -> None:
-    """Wait until a condition holds or raise TimeoutError naming it."""
+    """Wait until a condition holds; raise TimeoutError after the start timeout."""
     end = time.monotonic() + START_TIMEOUT_SECONDS
     while time.monotonic() < end:
         try:
@@ -231,4 +241,6 @@
         except (httpcore.NetworkError, httpcore.TimeoutException):
             pass
         time.sleep(0.05)
-    raise TimeoutError(f"{what} did not come up")
+    raise TimeoutError(
+        f"timed out after {START_TIMEOUT_SECONDS:g} s waiting for {what}"
+    )
--- a/packages/standins/src/briarthread_standins/direct_agents.py
+++ b/packages/standins/src/briarthread_standins/direct_agents.py
@@ -1,4 +1,4 @@
-"""Lock-step groups with an agent beside each rank, in one process."""
+"""Simulated lock-step groups with an agent for each rank."""
 
 import random
 from dataclasses import dataclass, field
@@ -20,10 +20,10 @@
 @dataclass
 class GroupWorld:
     """
-    Hold the groups of one service, their agents and the world that they live in.
+    Run the groups of one service with their agents in a ``DirectWorld``.
 
-    Ranks are numbered through all groups; ``sizes`` gives the ranks of each, and
-    is one group of ``ranks`` where it is empty.
+    Ranks are numbered across all groups. ``sizes`` gives the number of ranks of each
+    group; if it is empty there is one group of ``ranks``.
     """
 
     tasks: TaskGroup
@@ -45,19 +45,19 @@
             for number, size in enumerate(sizes)
         ]
         self.group = self.groups[0]
-        self.members = [rank for group in self.groups for rank in group.ranks]
+        self.all_ranks = [rank for group in self.groups for rank in group.ranks]
         for group in self.groups:
             group.tasks = self.tasks
             self.tasks.start_soon(group.run)
             for rank in group.ranks:
-                self._listen(self.members.index(rank), group, rank.number)
+                self._listen(self.all_ranks.index(rank), group, rank.number)
         for number in range(self.ranks):
-            self._list(number)
+            self._register(number)
 
-    def _listen(self, number: int, group: DirectGroup, place: int) -> None:
-        self.network.listen(self.engine_address(number), "palermo", group.app(place))
+    def _listen(self, number: int, group: DirectGroup, position: int) -> None:
+        self.network.listen(self.engine_address(number), "palermo", group.app(position))
 
-    def _list(self, number: int) -> None:
+    def _register(self, number: int) -> None:
         row = {
             "service": SERVICE,
             "address": self.engine_address(number),
@@ -68,30 +68,30 @@
         self.store.put("servers", f"rank-{number}", row)
 
     def group_of(self, number: int) -> DirectGroup:
-        """Return the group that a rank is in."""
-        rank = self.members[number]
+        """Return the group that a rank belongs to."""
+        rank = self.all_ranks[number]
         return next(group for group in self.groups if rank in group.ranks)
 
-    def move_rank(self, number: int, to: DirectGroup) -> None:
-        """Put a rank into another group; both are formed anew."""
-        rank, left = self.members[number], self.group_of(number)
-        left.ranks.remove(rank)
-        to.ranks.append(rank)
-        for group in (left, to):
+    def move_rank(self, number: int, new_group: DirectGroup) -> None:
+        """Move a rank to another group; both are re-formed."""
+        rank, old_group = self.all_ranks[number], self.group_of(number)
+        old_group.ranks.remove(rank)
+        new_group.ranks.append(rank)
+        for group in (old_group, new_group):
             group.reform()
-            for place, member in enumerate(group.ranks):
-                self._listen(self.members.index(member), group, place)
+            for position, member in enumerate(group.ranks):
+                self._listen(self.all_ranks.index(member), group, position)
 
     def engine_address(self, number: int) -> str:
-        """Return where a rank's engine listens."""
+        """Return the address of a rank's engine."""
         return f"10.2.0.{number + 1}:80"
 
     def agent_address(self, number: int) -> str:
-        """Return where a rank's agent listens."""
+        """Return the address of a rank's agent."""
         return f"10.2.0.{number + 1}:9"
 
     def start_agent(self, number: int) -> DirectAgent:
-        """Start the agent beside a rank, anew if it ran before."""
+        """Start or restart the agent of a rank."""
         name, address = f"side-{number}", self.agent_address(number)
         settings = DirectAgentSettings(
             name=name,
@@ -116,7 +116,7 @@
         return agent
 
     def kill_agent(self, number: int) -> None:
-        """Kill the agent beside a rank."""
+        """Kill the agent of a rank."""
         self.network.close(self.agent_address(number))
         scope = self.scopes.pop(number, None)
         if scope is not None:
@@ -124,7 +124,7 @@
         self.agents.pop(number, None)
 
     def planner(self, group: DirectGroup | None = None) -> int | None:
-        """Return the rank beside which the planner of a group is."""
+        """Return the rank whose agent is the planner of a group."""
         wanted = group or self.group
         return next(
             (
--- a/packages/standins/src/briarthread_standins/direct_config.py
+++ b/packages/standins/src/briarthread_standins/direct_config.py
@@ -1,10 +1,10 @@
-"""Configurations of the users' platform for stand-in worlds."""
+"""Configurations of the platform for simulated deployments."""
 
 MODEL, DIARY = "model", "diary"
 
 
 def build_config(version: int = 1, **changes: object) -> dict[str, object]:
-    """Return an operator's config with a stream, an unsafe and a safe route."""
+    """Return an operator's configuration with a stream, an unsafe and a safe route."""
     config: dict[str, object] = {
         "version": version,
         "routes": [
@@ -30,7 +30,7 @@
 def build_route_row(
     prefix: str, service: str, kind: str, **changes: object
 ) -> dict[str, object]:
-    """Return one route of a config."""
+    """Return one route of a configuration."""
     row = {
         "name": f"r{prefix}",
         "host": "salon.example",
@@ -47,7 +47,7 @@
 
 
 def build_engine_row() -> dict[str, object]:
-    """Return the figures of an engine without experts."""
+    """Return the performance profile of an engine without experts."""
     return {
         "slots": 6,
         "step_ms": 5.85,
--- a/packages/standins/src/briarthread_standins/direct_group.py
+++ b/packages/standins/src/briarthread_standins/direct_group.py
@@ -1,4 +1,4 @@
-"""A stand-in for a lock-step group of the users' platform, with an oracle."""
+"""A stand-in for a lock-step group that checks its own consistency."""
 
 import random
 
@@ -13,18 +13,19 @@
 COPY_SECONDS = 0.2
 PASS_SECONDS = 0.06
 SELECTIONS_PER_PASS = 400
-"""Choices of experts that each rank counts in a pass, in each set."""
+"""Expert selections that each rank counts per pass in each set."""
 
 
 class DirectGroup:
     """
-    Make passes in which all ranks must have the same map.
-
-    ``violations`` collects each pass that began otherwise. Orders are taken
-    from anyone. ``unanswered`` counts orders that stay without an answer and
-    are carried out ``late`` seconds on, ``unanswered_by_kind`` those of one kind and
-    ``unanswered_share`` the share of all of them;
-    ``held_seconds`` sums up how long the group waited for a held pass.
+    Run passes and check that all ranks have the same map in each.
+
+    ``violations`` lists each pass that began with different maps. Orders are accepted
+    from any sender. The response to an order can be dropped; such an order takes effect
+    after ``late_seconds``. ``unanswered_orders`` counts the next orders to treat so,
+    ``unanswered_by_kind`` those of one kind, and ``unanswered_share`` is the share of
+    all orders. ``held_seconds`` is the total time that the group waited for a held
+    pass, ``longest_hold_seconds`` the longest such wait.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self.orders: list[str] = []
         counts = [0] * sets * experts
         self.ranks = [DirectRank(r, [], counts=list(counts)) for r in range(ranks)]
-        self._place_evenly()
+        self._distribute_evenly()
 
     def app(self, number: int) -> App:
         """Return the application of one rank's engine."""
@@ -78,7 +79,7 @@
         )
 
     async def run(self) -> None:
-        """Make passes until cancelled."""
+        """Run passes until cancelled."""
         while True:
             await anyio.sleep(PASS_SECONDS)
             waited = 0.0
@@ -91,35 +92,35 @@
                 self._begin_pass()
 
     def reform(self) -> None:
-        """Break the group and form it in a new epoch, with the first map."""
+        """Re-form the group in a new epoch with the initial map."""
         self.epoch += 1
-        self._place_evenly()
+        self._distribute_evenly()
 
-    def _place_evenly(self) -> None:
+    def _distribute_evenly(self) -> None:
         layer = even_map(0, 1, self.experts, len(self.ranks)).layers[0]
         for number, rank in enumerate(self.ranks):
             rank.number = number
             rank.reset([layer[number] for _ in range(self.sets)])
 
     def relative_load(self, number: int) -> float:
-        """Return a rank's work with experts over that of an even share."""
-        mine = even = 0.0
+        """Return a rank's expert load relative to the mean of all ranks."""
+        own_load = mean_load = 0.0
         for layer in range(self.sets):
-            loads = self._loads(layer)
-            mine += loads[number]
-            even += sum(loads) / len(loads)
-        return mine / even
+            loads = self._rank_loads(layer)
+            own_load += loads[number]
+            mean_load += sum(loads) / len(loads)
+        return own_load / mean_load
 
     def skew(self) -> float:
-        """Return the slowest ranks' share of the work over an even one."""
-        slowest = even = 0.0
+        """Return the largest load of a rank in each set relative to the mean."""
+        largest_load = mean_load = 0.0
         for layer in range(self.sets):
-            loads = self._loads(layer)
-            slowest += max(loads)
-            even += sum(loads) / len(loads)
-        return slowest / even
+            loads = self._rank_loads(layer)
+            largest_load += max(loads)
+            mean_load += sum(loads) / len(loads)
+        return largest_load / mean_load
 
-    def _loads(self, layer: int) -> list[float]:
+    def _rank_loads(self, layer: int) -> list[float]:
         demand = self.demand[layer]
         replicas = [0] * self.experts
         for rank in self.ranks:
@@ -169,13 +170,13 @@
 
     async def _order(self, rank: DirectRank, call: Call) -> None:
         order = await call.read_json(dict, MAX_BODY_BYTES)
-        if self._stays_unanswered(order["op"]):
+        if self._drop_response(order["op"]):
             await anyio.sleep(self.late_seconds)
-            await self._carry_out(rank, order)
+            await self._execute(rank, order)
             return
-        await call.reply(await self._carry_out(rank, order), b"")
+        await call.reply(await self._execute(rank, order), b"")
 
-    def _stays_unanswered(self, kind: str) -> bool:
+    def _drop_response(self, kind: str) -> bool:
         if self.rng.random() < self.unanswered_share:
             return True
         if self.unanswered_orders:
@@ -186,7 +187,7 @@
             return True
         return False
 
-    async def _carry_out(self, rank: DirectRank, order: dict) -> int:
+    async def _execute(self, rank: DirectRank, order: dict) -> int:
         self.orders.append(order["op"])
         if order["epoch"] != self.epoch:
             return 409
@@ -194,8 +195,8 @@
             case "prepare":
                 return self._prepare(rank, order["version"], order["map"])
             case "arm":
-                taken = rank.arm(order["version"], order["step"], self.step)
-                return 200 if taken else 409
+                accepted = rank.arm(order["version"], order["step"], self.step)
+                return 200 if accepted else 409
             case "hold":
                 return 200 if rank.hold(order["step"], self.step) else 409
             case "go":
@@ -206,10 +207,10 @@
     def _prepare(
         self, rank: DirectRank, version: int, layers: list[list[list[int]]]
     ) -> int:
-        loads = rank.prepare(version, layers, self.spare)
-        if loads is None:
+        new_experts = rank.prepare(version, layers, self.spare)
+        if new_experts is None:
             return 409
-        seconds = COPY_SECONDS if loads else 0.0
+        seconds = COPY_SECONDS if new_experts else 0.0
         self.tasks.start_soon(self._copy, rank, version, seconds, self.epoch)
         return 202
 
--- a/packages/standins/src/briarthread_standins/direct_world.py
+++ b/packages/standins/src/briarthread_standins/direct_world.py
@@ -1,4 +1,4 @@
-"""Entries before direct targets on the users' platform, in one process."""
+"""A simulated deployment of direct entries on the platform's protocol."""
 
 import random
 from dataclasses import dataclass, field
@@ -26,7 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DirectResponse:
-    """What a caller got; ``whole`` is off where the answer broke off."""
+    """
+    A response as a caller received it.
+
+    ``complete`` is false if the connection broke before the end of the body.
+    """
 
     status: int
     headers: dict[str, str]
@@ -35,14 +39,14 @@
 
     @property
     def event_ids(self) -> list[int]:
-        """Return the ids of the events of a stream."""
+        """Return the ids of the events in a streamed body."""
         lines = self.body.decode().split("\n")
         return [int(line[3:]) for line in lines if line.startswith("id:")]
 
 
 @dataclass
 class DirectWorld:
-    """Hold a store, workers and entries on one fake network."""
+    """Run a platform store, workers and entries on one fake network."""
 
     tasks: TaskGroup
     seed: int = 1
@@ -60,7 +64,7 @@
     def add_worker(
         self, name: str, service: str, data_centre: str = "palermo", listed: bool = True
     ) -> DirectWorker:
-        """Start a worker at an address of its own and list it."""
+        """Start a worker at a new address and register it if ``listed`` is set."""
         worker = DirectWorker(name)
         number = len(self.workers) + 1
         address = f"10.9.0.{number}:80"
@@ -78,7 +82,7 @@
         data_centre: str = "palermo",
         state: str = "ready",
     ) -> None:
-        """Write a worker's row."""
+        """Write a worker's row into the ``servers`` table of the store."""
         row = {
             "service": service,
             "address": self.addresses[name],
@@ -89,15 +93,15 @@
         self.store.put("servers", name, row)
 
     def add_entry(self, name: str, data_centre: str = "palermo") -> DirectEntry:
-        """Start an entry, anew at its addresses if it ran before."""
+        """Start an entry; one of the same name restarts at its former addresses."""
         names = [*self.entries, name]
         number = names.index(name) + 1
-        peer, front = f"10.1.0.{number}:9", f"10.1.0.{number}:8"
+        peer_address, callers_address = f"10.1.0.{number}:9", f"10.1.0.{number}:8"
         settings = DirectSettings(
             name=name,
             data_centre=data_centre,
-            listen=peer,
-            callers_listen=front,
+            listen=peer_address,
+            callers_listen=callers_address,
             ready_listen=f"10.1.0.{number}:7",
             drain_notice=1.0,
             drain_timeout=3.0,
@@ -108,7 +112,7 @@
             log_level="INFO",
             log_json=False,
         )
-        channel = self.network.channel(peer, data_centre)
+        channel = self.network.channel(peer_address, data_centre)
         entry = DirectEntry(
             settings,
             ADAPTER,
@@ -118,14 +122,14 @@
             Clock(),
             random.Random(self.seed + number),
         )
-        self.network.listen(peer, data_centre, entry.peer_app)
-        self.network.listen(front, data_centre, entry.app)
+        self.network.listen(peer_address, data_centre, entry.peer_app)
+        self.network.listen(callers_address, data_centre, entry.app)
         self.entries[name] = entry
         self.tasks.start_soon(self._run_entry, name, entry)
         return entry
 
     def kill_entry(self, name: str) -> None:
-        """Kill an entry; what it was doing is cut off."""
+        """Kill an entry without draining it; its requests are cut off."""
         settings = self.entries[name].settings
         for address in (settings.listen, settings.callers_listen):
             self.network.close(address)
@@ -147,7 +151,11 @@
         host: str = "salon.example",
         client_timeout: float = 20.0,
     ) -> DirectResponse:
-        """Send a request as a caller and return what came back."""
+        """
+        Send a request as a caller and return the response.
+
+        A caller that disconnects after ``client_timeout`` seconds gets status 0.
+        """
         self.request_count += 1
         fields = {
             "host": host,
@@ -158,22 +166,27 @@
         }
         if body is not None:
             fields["content-length"] = str(len(body))
-        front = self.entries[entry].settings.callers_listen
+        callers_address = self.entries[entry].settings.callers_listen
         channel = self.network.channel(CLIENT_ADDRESS, "clients")
-        call = ChannelRequest(method, front, path, tuple(fields.items()), body)
+        request = ChannelRequest(
+            method, callers_address, path, tuple(fields.items()), body
+        )
         with anyio.move_on_after(client_timeout):
-            return await _read(channel, call)
+            return await _read_response(channel, request)
         return DirectResponse(0, {}, b"", complete=False)
 
 
-async def _read(channel: Channel, call: ChannelRequest) -> DirectResponse:
-    parts: list[bytes] = []
-    async with channel.stream(call) as response:
+async def _read_response(channel: Channel, request: ChannelRequest) -> DirectResponse:
+    chunks: list[bytes] = []
+    async with channel.stream(request) as response:
         try:
             async for chunk in response.body:
-                parts.append(chunk)
+                chunks.append(chunk)
         except ChannelError:
             return DirectResponse(
-                response.status, dict(response.headers), b"".join(parts), complete=False
+                response.status,
+                dict(response.headers),
+                b"".join(chunks),
+                complete=False,
             )
-        return DirectResponse(response.status, dict(response.headers), b"".join(parts))
+        return DirectResponse(response.status, dict(response.headers), b"".join(chunks))
--- a/packages/standins/src/briarthread_standins/fake_call.py
+++ b/packages/standins/src/briarthread_standins/fake_call.py
@@ -1,4 +1,4 @@
-"""One call on the fake network, as its two ends see it."""
+"""One call on the fake network, with its client and its server side."""
 
 from typing import Any
 
@@ -7,21 +7,21 @@
 
 from briarthread_common.http.channel import ChannelRequest
 
-BUFFERED_MESSAGES = 1000
-BODY = "http.response.body"
+MAX_BUFFERED_MESSAGES = 1000
+BODY_MESSAGE = "http.response.body"
 
 
 class FakeCall:
-    """Join the two ends of one call."""
+    """Connect the client and the server side of one call."""
 
     def __init__(self, request: ChannelRequest, caller: str = "") -> None:
         self.request = request
         self.disconnected = anyio.Event()
-        self.body_given = False
+        self.body_delivered = False
         self.sender: MemoryObjectSendStream[dict[str, Any]]
         self.receiver: MemoryObjectReceiveStream[dict[str, Any]]
         self.sender, self.receiver = anyio.create_memory_object_stream(
-            BUFFERED_MESSAGES
+            MAX_BUFFERED_MESSAGES
         )
         path, _, query = request.path.partition("?")
         self.scope = {
@@ -35,28 +35,28 @@
         }
 
     async def receive(self) -> dict[str, Any]:
-        """Give the server its next message."""
-        if not self.body_given:
-            self.body_given = True
+        """Return the next ASGI message for the server."""
+        if not self.body_delivered:
+            self.body_delivered = True
             return {"type": "http.request", "body": self.request.body or b""}
         await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(self, message: dict[str, Any]) -> None:
         """
-        Take a message of the server; drop it if the client is gone.
+        Pass an ASGI message on to the client; drop it if the client has disconnected.
 
-        Once the answer is complete the server is told that the client is gone,
-        as uvicorn tells it.
+        Once the response is complete the server receives ``http.disconnect``, as it
+        does from uvicorn.
         """
         try:
             await self.sender.send(message)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             return
-        if message["type"] == BODY and not message.get("more_body", False):
+        if message["type"] == BODY_MESSAGE and not message.get("more_body", False):
             self.disconnected.set()
 
-    def end(self) -> None:
-        """Hang up."""
+    def disconnect(self) -> None:
+        """Disconnect the client."""
         self.disconnected.set()
         self.receiver.close()
--- a/packages/standins/src/briarthread_standins/fake_platform_store.py
+++ b/packages/standins/src/briarthread_standins/fake_platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the store of the users' platform, in its own protocol."""
+"""A fake of the platform's store, in the platform's own protocol."""
 
 import base64
 from collections import deque
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredRow:
-    """One row; a ``value`` of ``None`` marks a row that was dropped."""
+    """A version of a row; a ``value`` of ``None`` marks a deletion."""
 
     table: str
     key: str
@@ -28,14 +28,14 @@
 
 class FakePlatformStore:
     """
-    Keep rows with versions from one counter, and a history of changes.
-
-    ``refuse`` makes every call be answered with a status, ``silent`` with
-    nothing at all; ``refused_callers`` holds the addresses of callers that are
-    refused while others are served. ``unanswered_writes`` counts writes that are
-    done and not answered, ``delayed_writes`` those that are done only
-    ``write_delay_seconds`` on.
-    ``page`` is how many rows an answer holds.
+    Store rows with versions from one counter and a history of changes.
+
+    ``refusal_status`` is the status of all responses while it is set; an
+    ``unresponsive`` store sends none. Callers at the addresses in ``refused_callers``
+    are refused while others are served. ``unanswered_writes`` counts the next writes
+    that are committed without a response, ``delayed_writes`` those that are committed
+    only after ``write_delay_seconds``. ``page_size`` is the largest number of rows of
+    a response.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         )
 
     def put(self, table: str, key: str, value: object) -> None:
-        """Write a row as the operator or a worker does."""
+        """Write a row as the operator or a worker would."""
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self._set(table, key, base64.b64encode(raw).decode())
 
@@ -70,15 +70,15 @@
         self._set(table, key, None)
 
     def value(self, table: str, key: str) -> bytes | None:
-        """Return what a row holds."""
+        """Return the decoded value of a row, ``None`` if it does not exist."""
         row = self.rows.get((table, key))
         return base64.b64decode(row.value) if row and row.value is not None else None
 
     def discard_history(self) -> None:
-        """Discard the history."""
+        """Discard the change history, so that feeds from before now get a 410."""
         self.history.clear()
         self.discarded_version = self.ver
-        self._wake()
+        self._notify_change()
 
     def _set(self, table: str, key: str, value: str | None) -> None:
         self.ver += 1
@@ -88,17 +88,17 @@
         else:
             self.rows[table, key] = row
         self.history.append(row)
-        self._wake()
+        self._notify_change()
 
-    def _wake(self) -> None:
+    def _notify_change(self) -> None:
         event, self.changed = self.changed, anyio.Event()
         event.set()
 
-    async def _admit(self, call: Call) -> bool:
+    async def _count_and_check(self, call: Call) -> bool:
         self.calls += 1
-        return await self._answers(call)
+        return await self._check_available(call)
 
-    async def _answers(self, call: Call) -> bool:
+    async def _check_available(self, call: Call) -> bool:
         if self.unresponsive:
             await call.wait_disconnect()
             return False
@@ -111,9 +111,9 @@
         return True
 
     async def _handle_get(self, call: Call) -> None:
-        if not await self._admit(call):
+        if not await self._count_and_check(call):
             return
-        query = _query(call)
+        query = _parse_query(call)
         first, end = query.get("from", ""), query.get("target")
         rows = sorted(
             (
@@ -128,60 +128,60 @@
         await self._reply_rows(call, rows[: self.page_size], len(rows) > self.page_size)
 
     async def _handle_feed(self, call: Call) -> None:
-        if not await self._admit(call):
+        if not await self._count_and_check(call):
             return
-        query = _query(call)
+        query = _parse_query(call)
         after = int(query["after"])
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             with anyio.move_on_after(int(query["waitMs"]) / 1000):
-                while after >= self.discarded_version and not self._since(
+                while after >= self.discarded_version and not self._changes_since(
                     query["table"], after
                 ):
                     await self.changed.wait()
             tasks.cancel_scope.cancel()
-        if not await self._answers(call):
+        if not await self._check_available(call):
             return
         if after < self.discarded_version:
             await call.reply(410, b"")
             return
-        await self._reply_rows(call, self._since(query["table"], after), False)
+        await self._reply_rows(call, self._changes_since(query["table"], after), False)
 
     async def _handle_tx(self, call: Call) -> None:
-        if not await self._admit(call):
+        if not await self._count_and_check(call):
             return
-        change = await call.read_json(dict, MAX_BODY_BYTES)
-        if any(row["table"] in FORBIDDEN_TABLES for row in change["setKeys"]):
+        transaction = await call.read_json(dict, MAX_BODY_BYTES)
+        if any(row["table"] in FORBIDDEN_TABLES for row in transaction["setKeys"]):
             await call.reply(403, b"")
             return
         if self.delayed_writes:
             self.delayed_writes -= 1
             await anyio.sleep(self.write_delay_seconds)
-            self._apply(change)
+            self._apply(transaction)
             return
-        if not self._holds(change):
+        if not self._preconditions_hold(transaction):
             await call.reply(412, b'{"rows":[]}')
             return
-        self._apply(change)
+        self._apply(transaction)
         if self.unanswered_writes:
             self.unanswered_writes -= 1
             await call.wait_disconnect()
             return
         await call.reply_json({"ver": self.ver, "nowMs": self._now()})
 
-    def _holds(self, change: dict) -> bool:
-        for expected in change.get("expectedRev", []):
+    def _preconditions_hold(self, transaction: dict) -> bool:
+        for expected in transaction.get("expectedRev", []):
             row = self.rows.get((expected["table"], expected["key"]))
             if (row.ver if row else 0) != expected["ver"]:
                 return False
         return True
 
-    def _apply(self, change: dict) -> None:
-        if self._holds(change):
-            for row in change["setKeys"]:
+    def _apply(self, transaction: dict) -> None:
+        if self._preconditions_hold(transaction):
+            for row in transaction["setKeys"]:
                 self._set(row["table"], row["key"], row["value"])
 
-    def _since(self, table: str, after: int) -> list[StoredRow]:
+    def _changes_since(self, table: str, after: int) -> list[StoredRow]:
         newest: dict[str, StoredRow] = {}
         for row in self.history:
             if row.table == table and row.ver > after:
@@ -193,7 +193,7 @@
     ) -> None:
         await call.reply_json(
             {
-                "rows": [_wire(row) for row in rows],
+                "rows": [_encode_row(row) for row in rows],
                 "truncated": truncated,
                 "ver": self.ver,
                 "nowMs": self._now(),
@@ -204,12 +204,12 @@
         return int(anyio.current_time() * 1000)
 
 
-def _wire(row: StoredRow) -> dict[str, object]:
-    head = {"table": row.table, "part": "", "key": row.key, "ver": row.ver}
+def _encode_row(row: StoredRow) -> dict[str, object]:
+    fields = {"table": row.table, "part": "", "key": row.key, "ver": row.ver}
     if row.value is None:
-        return {**head, "tombstone": True}
-    return {**head, "value": row.value}
+        return {**fields, "tombstone": True}
+    return {**fields, "value": row.value}
 
 
-def _query(call: Call) -> dict[str, str]:
+def _parse_query(call: Call) -> dict[str, str]:
     return {name: values[0] for name, values in parse_qs(call.query).items()}
--- a/packages/standins/src/briarthread_standins/limit_results.py
+++ b/packages/standins/src/briarthread_standins/limit_results.py
@@ -1,4 +1,4 @@
-"""What limited targets and their callers got."""
+"""Results of a load on limited targets."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -6,16 +6,17 @@
 from briarthread_standins.refusals import Refusals
 
 WINDOW_SECONDS = 4.0
-"""Time over which a target's arrivals are counted."""
+"""Length of the window in which a target's arrivals are counted, in seconds."""
 
 
 @dataclass(slots=True)
 class LimitResults:
     """
-    Hold the times of arrivals at each target, and what callers got.
+    Times of arrivals at each target, and responses to callers.
 
-    ``statuses`` counts answers, ``waits`` holds the pauses that refused callers were
-    told, and ``slowest_refusal`` how long one of them waited for it, all in seconds.
+    ``statuses`` counts responses by status, 0 for incomplete ones;
+    ``retry_after_seconds`` holds the Retry-After values of refusals, and
+    ``slowest_refusal`` is the longest time to a refusal, in seconds.
     """
 
     arrivals: list[list[float]] = field(default_factory=list)
@@ -28,7 +29,7 @@
     def max_arrivals(
         self, target: int, since: float, until: float = float("inf")
     ) -> int:
-        """Return the most arrivals of a target in any window between two times."""
+        """Return the largest number of arrivals in any window between two times."""
         times = [at for at in sorted(self.arrivals[target]) if since <= at < until]
         return max(
             (
@@ -39,18 +40,18 @@
         )
 
     def max_early_requests(self) -> int:
-        """Return the most requests that an entry sent to a target within a backoff."""
+        """Return the most requests that an entry sent to a target during a backoff."""
         return max(refusals.max_early_requests() for refusals in self.refusals)
 
     def arrivals_per_second(self, target: int, since: float, until: float) -> float:
-        """Return what a target got a second between two times."""
-        got = sum(since <= at < until for at in self.arrivals[target])
-        return got / (until - since)
+        """Return the mean rate of arrivals at a target between two times."""
+        arrivals = sum(since <= at < until for at in self.arrivals[target])
+        return arrivals / (until - since)
 
 
 def max_allowed_arrivals(limit: float) -> float:
     """
-    Return how many requests a target that names a limit may get in a window.
+    Return how many requests a target with a limit may receive in a window.
 
     >>> max_allowed_arrivals(1.0), max_allowed_arrivals(2.5)
     (11.0, 20.0)
--- a/packages/standins/src/briarthread_standins/limit_scenario.py
+++ b/packages/standins/src/briarthread_standins/limit_scenario.py
@@ -1,4 +1,4 @@
-"""A load on targets of which some name a limit or request a backoff."""
+"""Description of a load on targets that announce a limit or request backoff."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitStep:
-    """From ``at`` seconds on the first ``targets`` name ``limit``, or none any more."""
+    """
+    From ``at`` seconds on, the first ``targets`` targets announce ``limit``.
+
+    ``None`` ends the announcement.
+    """
 
     at: float
     limit: str | None
@@ -17,7 +21,7 @@
 @dataclass(frozen=True, slots=True)
 class RefusalStep:
     """
-    From ``at`` seconds on the first ``targets`` refuse everything for ``seconds``.
+    From ``at`` seconds on, the first ``targets`` refuse all requests for ``seconds``.
 
     Each refusal is a 503 with a Retry-After of ``retry_after`` seconds.
     """
@@ -36,11 +40,11 @@
     """
     Describe a load; times are in seconds from its start.
 
-    ``rate`` requests a second come to ``entries`` in three data centres, the first
-    entry getting ``first_entry_share`` of them and the others even parts. ``fault_at``
-    is when one entry is killed and started again a second later (``restarted``), or cut
-    off from all others for four seconds (``cut_off``): the first of those that are
-    asked for room at the first target.
+    ``rate`` requests per second arrive at ``entries`` in three data centres. The first
+    entry gets ``first_entry_share`` of them, the others equal shares of the rest. At
+    ``fault_at`` one entry is killed and restarted one second later (``restarted``) or
+    isolated from all others for four seconds (``cut_off``). It is the first entry that
+    others ask for limit tokens of the first target.
     """
 
     entries: int = 9
--- a/packages/standins/src/briarthread_standins/limit_simulation.py
+++ b/packages/standins/src/briarthread_standins/limit_simulation.py
@@ -1,4 +1,8 @@
-"""Playing of a load on targets that name limits, in virtual time."""
+"""
+Simulation of a load on targets that announce rate limits or request backoff.
+
+It runs real entries in virtual time.
+"""
 
 import random
 from collections.abc import Callable
@@ -23,48 +27,48 @@
 
 DATA_CENTRES = ("palermo", "catania", "messina")
 SETTLE_SECONDS = 5.0
-RESTART_SECONDS = 1.0
-CUT_SECONDS = 4.0
+RESTART_DELAY_SECONDS = 1.0
+ISOLATION_SECONDS = 4.0
 
 
 def simulate_limits(
-    day: LimitScenario, prepare: Callable[[DirectEntry], None] = lambda _: None
+    scenario: LimitScenario, prepare: Callable[[DirectEntry], None] = lambda _: None
 ) -> LimitResults:
     """
-    Play a day and return what the targets and callers got.
+    Simulate a scenario and return its results.
 
-    ``prepare`` may change each entry before the load comes.
+    ``prepare`` can modify each entry before the load starts.
     """
-    tally = LimitResults()
+    results = LimitResults()
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            world = _start(tasks, day)
+            world = _start_world(tasks, scenario)
             for entry in world.entries.values():
                 prepare(entry)
             await anyio.sleep(SETTLE_SECONDS)
             sent_before = sum(world.network.sent_bytes.values())
             start = anyio.current_time()
             async with anyio.create_task_group() as callers:
-                callers.start_soon(_apply_steps, world, day)
-                callers.start_soon(_disturb, world, day)
-                await _arrive(world, callers, day, tally)
+                callers.start_soon(_apply_steps, world, scenario)
+                callers.start_soon(_inject_fault, world, scenario)
+                await _generate_load(world, callers, scenario, results)
             workers = world.workers.values()
-            tally.arrivals = [[at - start for at in w.arrivals] for w in workers]
-            tally.refusals = [worker.refusals for worker in workers]
-            tally.bytes_sent = sum(world.network.sent_bytes.values()) - sent_before
+            results.arrivals = [[at - start for at in w.arrivals] for w in workers]
+            results.refusals = [worker.refusals for worker in workers]
+            results.bytes_sent = sum(world.network.sent_bytes.values()) - sent_before
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
-    return tally
+    return results
 
 
-def entry_names(day: LimitScenario) -> list[str]:
-    """Return the entries' names; the one that trouble strikes comes last."""
-    names = [f"entry-{number}" for number in range(day.entries)]
-    near = [name for name in names if data_centre_of(name) == DATA_CENTRES[0]]
-    struck = rendezvous_order("target-0", near)[0]
-    return [*(name for name in names if name != struck), struck]
+def entry_names(scenario: LimitScenario) -> list[str]:
+    """Return the entries' names; the one that the fault affects comes last."""
+    names = [f"entry-{number}" for number in range(scenario.entries)]
+    local_names = [name for name in names if data_centre_of(name) == DATA_CENTRES[0]]
+    affected = rendezvous_order("target-0", local_names)[0]
+    return [*(name for name in names if name != affected), affected]
 
 
 def data_centre_of(name: str) -> str:
@@ -72,22 +76,24 @@
     return DATA_CENTRES[int(name.partition("-")[2]) % len(DATA_CENTRES)]
 
 
-def _start(tasks: TaskGroup, day: LimitScenario) -> DirectWorld:
-    world = DirectWorld(tasks, day.seed)
-    kind = "stream" if day.service == MODEL else "safe"
-    route = build_route_row("/ask/", day.service, kind, maxAttempts=2, resumable=True)
+def _start_world(tasks: TaskGroup, scenario: LimitScenario) -> DirectWorld:
+    world = DirectWorld(tasks, scenario.seed)
+    kind = "stream" if scenario.service == MODEL else "safe"
+    route = build_route_row(
+        "/ask/", scenario.service, kind, maxAttempts=2, resumable=True
+    )
     world.store.put("op", "config", build_config(routes=[route]))
-    for number in range(day.targets):
+    for number in range(scenario.targets):
         name = f"target-{number}"
-        world.add_worker(name, day.service, data_centre_of(name))
-    for name in entry_names(day):
+        world.add_worker(name, scenario.service, data_centre_of(name))
+    for name in entry_names(scenario):
         world.add_entry(name, data_centre_of(name))
     return world
 
 
-async def _apply_steps(world: DirectWorld, day: LimitScenario) -> None:
+async def _apply_steps(world: DirectWorld, scenario: LimitScenario) -> None:
     start = anyio.current_time()
-    for step in day.steps:
+    for step in scenario.steps:
         await anyio.sleep(start + step.at - anyio.current_time())
         for worker in list(world.workers.values())[: step.targets]:
             _apply_step(worker, step)
@@ -102,48 +108,51 @@
             worker.refusals.refuse(now, now + seconds, retry_after)
 
 
-async def _disturb(world: DirectWorld, day: LimitScenario) -> None:
-    struck = entry_names(day)[-1]
-    if not (day.restarted or day.cut_off):
+async def _inject_fault(world: DirectWorld, scenario: LimitScenario) -> None:
+    affected = entry_names(scenario)[-1]
+    if not (scenario.restarted or scenario.cut_off):
         return
-    await anyio.sleep(day.fault_at)
-    if day.restarted:
-        world.kill_entry(struck)
-        await anyio.sleep(RESTART_SECONDS)
-        world.add_entry(struck, data_centre_of(struck))
+    await anyio.sleep(scenario.fault_at)
+    if scenario.restarted:
+        world.kill_entry(affected)
+        await anyio.sleep(RESTART_DELAY_SECONDS)
+        world.add_entry(affected, data_centre_of(affected))
         return
-    peer = world.entries[struck].settings.listen
-    world.network.freeze(peer, True)
-    await anyio.sleep(CUT_SECONDS)
-    world.network.freeze(peer, False)
+    peer_address = world.entries[affected].settings.listen
+    world.network.freeze(peer_address, True)
+    await anyio.sleep(ISOLATION_SECONDS)
+    world.network.freeze(peer_address, False)
 
 
-async def _arrive(
-    world: DirectWorld, callers: TaskGroup, day: LimitScenario, tally: LimitResults
+async def _generate_load(
+    world: DirectWorld,
+    callers: TaskGroup,
+    scenario: LimitScenario,
+    results: LimitResults,
 ) -> None:
-    rng = random.Random(day.seed)
-    names = entry_names(day)
-    even = (1 - day.first_entry_share) / max(len(names) - 1, 1)
-    shares = [day.first_entry_share, *[even] * (len(names) - 1)]
+    rng = random.Random(scenario.seed)
+    names = entry_names(scenario)
+    other_share = (1 - scenario.first_entry_share) / max(len(names) - 1, 1)
+    weights = [scenario.first_entry_share, *[other_share] * (len(names) - 1)]
     start = anyio.current_time()
-    while anyio.current_time() - start < day.seconds:
-        await anyio.sleep(rng.expovariate(day.rate))
-        entry = rng.choices(names, shares)[0]
-        callers.start_soon(_ask, world, day, entry, tally)
+    while anyio.current_time() - start < scenario.seconds:
+        await anyio.sleep(rng.expovariate(scenario.rate))
+        entry = rng.choices(names, weights)[0]
+        callers.start_soon(_send_request, world, scenario, entry, results)
 
 
-async def _ask(
-    world: DirectWorld, day: LimitScenario, entry: str, tally: LimitResults
+async def _send_request(
+    world: DirectWorld, scenario: LimitScenario, entry: str, results: LimitResults
 ) -> None:
-    asked = anyio.current_time()
-    size = {"x-token-count": "800,100"} if day.service == MODEL else {}
+    sent_at = anyio.current_time()
+    headers = {"x-token-count": "800,100"} if scenario.service == MODEL else {}
     try:
-        reply = await world.call(entry, "/ask/1", size, body=None)
+        reply = await world.call(entry, "/ask/1", headers, body=None)
     except ChannelError:
-        tally.statuses[0] += 1
+        results.statuses[0] += 1
         return
-    tally.statuses[reply.status if reply.complete else 0] += 1
+    results.statuses[reply.status if reply.complete else 0] += 1
     if reply.status == 503:
-        tally.retry_after_seconds.append(float(reply.headers["retry-after"]))
-        took = anyio.current_time() - asked
-        tally.slowest_refusal = max(tally.slowest_refusal, took)
+        results.retry_after_seconds.append(float(reply.headers["retry-after"]))
+        duration = anyio.current_time() - sent_at
+        results.slowest_refusal = max(results.slowest_refusal, duration)
--- a/packages/standins/src/briarthread_standins/load_scenario.py
+++ b/packages/standins/src/briarthread_standins/load_scenario.py
@@ -1,4 +1,4 @@
-"""A load that callers put on a service's groups."""
+"""Description of a load on a service's groups."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,13 @@
     """
     Describe a load; times are in seconds.
 
-    ``rate`` requests arrive a second, in the first ``burst_seconds`` ``burst``
-    times as many. The first group is away for ``outage_seconds`` from
-    ``outage_at`` on. ``groups`` of them have ``ranks`` together; a pass takes
-    ``fixed`` and ``each`` for every running stream of its group, of which each
-    takes ``events``. ``slow`` is how many times longer the last group's passes are;
-    ``told`` says whether agents tell which rank is in which group.
+    ``rate`` requests arrive per second, ``burst_factor`` times as many in the first
+    ``burst_seconds``. The first group is broken for ``outage_seconds`` from
+    ``outage_at`` on. ``ranks`` is the number of ranks of all ``groups``. A pass takes
+    ``fixed_seconds`` plus ``request_cost`` for each running stream of its group, and a
+    stream takes ``events_per_stream`` passes. Passes of the last group take
+    ``slow_factor`` times as long. ``membership_reported`` says whether agents report
+    which rank is in which group.
     """
 
     rate: float
--- a/packages/standins/src/briarthread_standins/load_simulation.py
+++ b/packages/standins/src/briarthread_standins/load_simulation.py
@@ -1,8 +1,8 @@
 """
-Playing of a load on groups of ranks, through real entries and in virtual time.
+Simulation of a load on groups of ranks, with real entries in virtual time.
 
-Callers come at random to three entries, wait for the pauses that they were
-told and come back once.
+Callers choose one of three entries at random. A refused caller waits for the time
+in Retry-After, within limits, and retries once.
 """
 
 import random
@@ -24,69 +24,78 @@
 from briarthread_standins.virtual_time import run_virtual
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-UNEVEN = (0.5, 0.3, 0.2)
-"""Callers' shares of the entries; a platform spreads them unevenly."""
+ENTRY_WEIGHTS = (0.5, 0.3, 0.2)
+"""Shares of callers that each entry gets; a platform distributes them unevenly."""
 SETTLE_SECONDS = 3.0
-AIM, PAUSE, GIVE_UP, BUDGET = 0.4, 0.12, 2.0, 8.0
-"""The callers' first-event aim, longest pause, patience and whole time, s."""
-HONOURED_SHARE = 1 / 3
-"""Part of the time left within which callers come back as told."""
+SLO, GAP_SLO, IDLE_TIMEOUT, DEADLINE = 0.4, 0.12, 2.0, 8.0
+"""
+Times of callers in seconds: objectives and timeouts.
+
+The objectives apply to the first event and to the gap between two events, the timeouts
+to the wait for the next event and to the whole request.
+"""
+MAX_RETRY_AFTER_SHARE = 1 / 3
+"""Share of its deadline up to which a caller observes Retry-After."""
 
-Prepare = Callable[[DirectEntry], None]
+ConfigureEntry = Callable[[DirectEntry], None]
 
 
 def simulate_load(
-    day: LoadScenario, prepare: Prepare = lambda _: None
+    scenario: LoadScenario, prepare: ConfigureEntry = lambda _: None
 ) -> CallerResults:
-    """Play a day and return what callers got; ``prepare`` may change entries."""
-    tally = CallerResults()
+    """Simulate a scenario and return its results; ``prepare`` can modify entries."""
+    results = CallerResults()
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            world = DirectWorld(tasks, day.seed)
-            group = _start_groups(world, tasks, day)
+            world = DirectWorld(tasks, scenario.seed)
+            group = _start_groups(world, tasks, scenario)
             for name in ENTRIES:
                 prepare(world.add_entry(name))
-            if day.membership_reported and day.groups > 1:
-                await register_groups(world, day.groups, day.ranks)
+            if scenario.membership_reported and scenario.groups > 1:
+                await register_groups(world, scenario.groups, scenario.ranks)
             await anyio.sleep(SETTLE_SECONDS)
-            if day.outage_seconds:
-                tasks.start_soon(_break_for_a_while, group, day)
+            if scenario.outage_seconds:
+                tasks.start_soon(_break_temporarily, group, scenario)
             async with anyio.create_task_group() as callers:
-                await _arrive(world, callers, day, tally)
+                await _generate_load(world, callers, scenario, results)
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
-    return tally
+    return results
 
 
 def _start_groups(
-    world: DirectWorld, tasks: TaskGroup, day: LoadScenario
+    world: DirectWorld, tasks: TaskGroup, scenario: LoadScenario
 ) -> LoadedGroup:
-    """Start the groups, with the ranks dealt out in turn; return the first."""
-    size = day.ranks // day.groups
+    """Start the groups, assigning ranks round-robin; return the first group."""
+    size = scenario.ranks // scenario.groups
     groups = [
-        LoadedGroup(size, events=day.events_per_stream) for _ in range(day.groups)
+        LoadedGroup(size, events=scenario.events_per_stream)
+        for _ in range(scenario.groups)
     ]
     for group in groups:
-        group.fixed_seconds, group.request_cost = day.fixed_seconds, day.request_cost
+        group.fixed_seconds, group.request_cost = (
+            scenario.fixed_seconds,
+            scenario.request_cost,
+        )
         tasks.start_soon(group.run)
     groups[-1].fixed_seconds, groups[-1].request_cost = (
-        day.fixed_seconds * day.slow_factor,
-        day.request_cost * day.slow_factor,
+        scenario.fixed_seconds * scenario.slow_factor,
+        scenario.request_cost * scenario.slow_factor,
     )
     engine = {"name": MODEL, "engine": build_engine_row()}
     world.store.put("op", "config", build_config(services=[engine]))
-    for number in range(size * day.groups):
+    for number in range(size * scenario.groups):
         world.add_worker(f"rank-{number}", MODEL)
         address = world.addresses[f"rank-{number}"]
-        app = groups[number % day.groups].app(number // day.groups)
+        app = groups[number % scenario.groups].app(number // scenario.groups)
         world.network.listen(address, "palermo", app)
     return groups[0]
 
 
 async def register_groups(world: DirectWorld, groups: int, ranks: int) -> None:
-    """List an agent beside each rank, with its group."""
+    """Register an agent for each rank, with its group."""
     store = next(iter(world.entries.values())).store
     for number in range(ranks):
         host = host_of(world.addresses[f"rank-{number}"])
@@ -101,74 +110,84 @@
         await store.register_instance(row)
 
 
-async def _break_for_a_while(group: LoadedGroup, day: LoadScenario) -> None:
-    await anyio.sleep(day.outage_at)
+async def _break_temporarily(group: LoadedGroup, scenario: LoadScenario) -> None:
+    await anyio.sleep(scenario.outage_at)
     group.broken = True
-    await anyio.sleep(day.outage_seconds)
+    await anyio.sleep(scenario.outage_seconds)
     group.broken = False
 
 
-async def _arrive(
-    world: DirectWorld, callers: TaskGroup, day: LoadScenario, tally: CallerResults
+async def _generate_load(
+    world: DirectWorld,
+    callers: TaskGroup,
+    scenario: LoadScenario,
+    results: CallerResults,
 ) -> None:
-    rng = random.Random(day.seed)
+    rng = random.Random(scenario.seed)
     start = anyio.current_time()
-    while (passed := anyio.current_time() - start) < day.seconds:
-        now = day.rate * day.burst_factor if passed < day.burst_seconds else day.rate
-        await anyio.sleep(rng.expovariate(now))
-        entry = rng.choices(ENTRIES, UNEVEN)[0]
-        tally.requests += 1
-        callers.start_soon(_be_served, world, entry, rng, tally)
+    while (elapsed := anyio.current_time() - start) < scenario.seconds:
+        rate = (
+            scenario.rate * scenario.burst_factor
+            if elapsed < scenario.burst_seconds
+            else scenario.rate
+        )
+        await anyio.sleep(rng.expovariate(rate))
+        entry = rng.choices(ENTRIES, ENTRY_WEIGHTS)[0]
+        results.requests += 1
+        callers.start_soon(_send_with_retry, world, entry, rng, results)
 
 
-async def _be_served(
-    world: DirectWorld, entry: str, rng: random.Random, tally: CallerResults
+async def _send_with_retry(
+    world: DirectWorld, entry: str, rng: random.Random, results: CallerResults
 ) -> None:
-    """Ask, come back once when refused, and note what came of it."""
+    """Send a request, retry it once when refused, and record the outcome."""
     started = anyio.current_time()
-    first = await _ask(world, entry, started, started, tally)
-    if first is None:
+    retry_after = await _send_request(world, entry, started, started, results)
+    if retry_after is None:
         return
-    tally.refused += 1
-    await anyio.sleep(min(first, BUDGET * HONOURED_SHARE))
-    elsewhere = rng.choice(ENTRIES)
-    if await _ask(world, elsewhere, started, anyio.current_time(), tally) is not None:
-        tally.refused_twice += 1
-
-
-async def _ask(
-    world: DirectWorld, entry: str, started: float, now: float, tally: CallerResults
+    results.refused += 1
+    await anyio.sleep(min(retry_after, DEADLINE * MAX_RETRY_AFTER_SHARE))
+    retry_entry = rng.choice(ENTRIES)
+    if (
+        await _send_request(world, retry_entry, started, anyio.current_time(), results)
+        is not None
+    ):
+        results.refused_twice += 1
+
+
+async def _send_request(
+    world: DirectWorld, entry: str, started: float, now: float, results: CallerResults
 ) -> float | None:
-    """Return the pause that a refused caller is told, ``None`` otherwise."""
+    """Return the Retry-After seconds of a refusal, ``None`` otherwise."""
     world.request_count += 1
     fields = (
         ("host", "salon.example"),
         ("x-request-id", f"request-{world.request_count}"),
         ("x-credential", "key-1"),
-        ("x-deadline-ms", str(int((started + BUDGET - now) * 1000))),
+        ("x-deadline-ms", str(int((started + DEADLINE - now) * 1000))),
         ("x-token-count", "800,100"),
     )
-    front = world.entries[entry].settings.callers_listen
-    call = ChannelRequest("POST", front, "/chat/1", fields, None)
+    callers_address = world.entries[entry].settings.callers_listen
+    request = ChannelRequest("POST", callers_address, "/chat/1", fields, None)
     channel = world.network.channel(CLIENT_ADDRESS, "clients")
     events: list[float] = []
     try:
-        with anyio.move_on_after(GIVE_UP) as patience:
-            async with channel.stream(call) as response:
+        with anyio.move_on_after(IDLE_TIMEOUT) as timeout:
+            async with channel.stream(request) as response:
                 if response.status != 200:
-                    took = anyio.current_time() - now
-                    tally.slowest_refusal = max(tally.slowest_refusal, took)
+                    duration = anyio.current_time() - now
+                    results.slowest_refusal = max(results.slowest_refusal, duration)
                     return float(response.headers["retry-after"])
                 async for _ in response.body:
                     events.append(anyio.current_time())
-                    patience.deadline = anyio.current_time() + GIVE_UP
+                    timeout.deadline = anyio.current_time() + IDLE_TIMEOUT
     except ChannelError:
         events.clear()
-    if patience.cancelled_caught or not events:
-        tally.lost += 1
+    if timeout.cancelled_caught or not events:
+        results.lost += 1
         return None
-    pauses = [b - a for a, b in zip(events, events[1:], strict=False)]
-    in_time = events[0] - started <= AIM and max(pauses) <= PAUSE
-    tally.in_time += in_time
-    tally.late += not in_time
+    gaps = [b - a for a, b in zip(events, events[1:], strict=False)]
+    in_time = events[0] - started <= SLO and max(gaps) <= GAP_SLO
+    results.in_time += in_time
+    results.late += not in_time
     return None
--- a/packages/standins/src/briarthread_standins/loaded_group.py
+++ b/packages/standins/src/briarthread_standins/loaded_group.py
@@ -1,4 +1,4 @@
-"""A stand-in for a lock-step group whose passes grow with its load."""
+"""A stand-in for a lock-step group whose pass duration grows with its load."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,26 +9,27 @@
 from briarthread_common.http.call import Call
 
 MAX_BODY_BYTES = 1024 * 1024
-IDLE_SECONDS = 0.005
+IDLE_POLL_SECONDS = 0.005
 STAMP_HEADER = ("x-server-stamp", "stamp")
 
 
 @dataclass(eq=False)
 class Generation:
-    """One stream; ``events`` are still to be made."""
+    """One stream of ``events`` events in total, of which some are produced."""
 
     events: int
-    made: int = 0
+    produced: int = 0
     ready: anyio.Event = field(default_factory=anyio.Event)
-    gone: bool = False
+    abandoned: bool = False
 
 
 class LoadedGroup:
     """
-    Make passes of ``fixed_seconds`` seconds and ``each`` for every running stream.
+    Run passes that take ``fixed_seconds`` plus ``request_cost`` per running stream.
 
-    Each rank runs ``slots`` streams and queues the rest. ``broken`` makes all
-    ranks refuse, as a group does that has lost a rank.
+    ``request_cost`` is in seconds. Each rank runs ``slots`` streams and queues the
+    rest. While ``broken``, all ranks refuse requests, as in a group that has lost a
+    rank.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         self.broken = False
         self.running: list[list[Generation]] = [[] for _ in range(ranks)]
         self.waiting: list[deque[Generation]] = [deque() for _ in range(ranks)]
-        self.most_running = 0
+        self.max_running = 0
 
     def app(self, number: int) -> App:
         """Return the application of one rank."""
@@ -57,22 +58,22 @@
         return App([Route("*", "/", generate)])
 
     async def run(self) -> None:
-        """Make passes until cancelled."""
+        """Run passes until cancelled."""
         while True:
             for rank, queue in zip(self.running, self.waiting, strict=True):
-                rank[:] = [g for g in rank if g.events > g.made and not g.gone]
+                rank[:] = [g for g in rank if g.events > g.produced and not g.abandoned]
                 while queue and len(rank) < self.slots:
                     rank.append(queue.popleft())
             total = sum(len(rank) for rank in self.running)
-            self.most_running = max(self.most_running, total)
+            self.max_running = max(self.max_running, total)
             await anyio.sleep(
                 self.fixed_seconds + self.request_cost * total
                 if total
-                else IDLE_SECONDS
+                else IDLE_POLL_SECONDS
             )
             for rank in self.running:
                 for generation in rank:
-                    generation.made += 1
+                    generation.produced += 1
                     event, generation.ready = generation.ready, anyio.Event()
                     event.set()
 
@@ -92,17 +93,19 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
             try:
-                await self._send(call, headers["x-request-id"], generation)
+                await self._send_events(call, headers["x-request-id"], generation)
             finally:
-                generation.gone = True
+                generation.abandoned = True
             tasks.cancel_scope.cancel()
 
-    async def _send(self, call: Call, request: str, generation: Generation) -> None:
-        await call.start(200, [STAMP_HEADER, ("x-request-id", request)])
+    async def _send_events(
+        self, call: Call, request_id: str, generation: Generation
+    ) -> None:
+        await call.start(200, [STAMP_HEADER, ("x-request-id", request_id)])
         sent = 0
         while sent < generation.events:
             await generation.ready.wait()
-            while sent < generation.made:
+            while sent < generation.produced:
                 sent += 1
                 await call.send_chunk(f"id: {sent}\ndata: x\n\n".encode())
         await call.finish()
--- a/packages/standins/src/briarthread_standins/plain_service.py
+++ b/packages/standins/src/briarthread_standins/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts its runs for each key."""
+"""A stand-in for a plain service that counts its runs per body."""
 
 from collections import Counter
 
@@ -18,19 +18,19 @@
   plain_service [--delay=SECONDS] LISTEN
 
 Options:
-  --delay=SECONDS  Time that each call takes [default: 0.005].
+  --delay=SECONDS  Duration of each call [default: 0.005].
 """
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class PlainService:
     """
-    Answer each call after a while and count how often each body came.
+    Respond to each call after ``delay`` seconds and count how often each body ran.
 
-    The count takes effect before the answer is sent, as a booking does. The
-    body stands for the key, since a target sees no idempotency key. ``refusals`` sets
-    when it answers 503 with Retry-After. While ``leaving`` is set, each success
-    announces a shutdown.
+    The run is counted before the response is sent, as the effect of a booking is. The
+    body stands for the idempotency key, which a target does not receive. ``refusals``
+    sets when it responds 503 with Retry-After. While ``leaving`` is set, each
+    successful response announces a shutdown.
     """
 
     def __init__(self, delay: float = 0.005) -> None:
@@ -52,13 +52,13 @@
             return
         self.runs[body.decode()] += 1
         await anyio.sleep(self.delay)
-        answer = {
+        response = {
             "done": call.path,
             "run": self.runs[body.decode()],
             "body": body.decode(),
         }
-        leaving = [("target-leaving", "1")] if self.leaving else []
-        await call.reply(200, msgspec.json.encode(answer), leaving)
+        headers = [("target-leaving", "1")] if self.leaving else []
+        await call.reply(200, msgspec.json.encode(response), headers)
 
     async def _handle_runs(self, call: Call) -> None:
         body = msgspec.json.encode(self.runs)
--- a/packages/standins/src/briarthread_standins/platform_app.py
+++ b/packages/standins/src/briarthread_standins/platform_app.py
@@ -1,4 +1,4 @@
-"""The platform stand-in over HTTP: table, instance list and switches."""
+"""A stand-in for the platform over HTTP: table, instance list, fault injection."""
 
 from dataclasses import dataclass, field
 
@@ -22,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Switch:
-    """Set how the stand-in behaves; ``delay`` is in seconds."""
+class ModeChange:
+    """A request to change the stand-in's mode; ``delay`` is in seconds."""
 
     mode: PlatformMode
     delay: float = 0.0
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ListChange:
-    """Change the instance list."""
+    """A request to change the instance list."""
 
     put: list[Instance] = field(default_factory=list)
     remove: list[str] = field(default_factory=list)
 
 
 class PlatformApp:
-    """Answer as the platform would, with faults on request."""
+    """Serve the platform's interface, with faults on request."""
 
     def __init__(self) -> None:
         self.state = PlatformState()
@@ -47,7 +47,7 @@
                 Route("POST", "/v1/table/read", self._handle_read),
                 Route("POST", "/v1/table/transactions", self._handle_transaction),
                 Route("POST", "/v1/instances/since", self._handle_instances),
-                Route("POST", "/standin/switch", self._handle_switch),
+                Route("POST", "/standin/switch", self._handle_mode_change),
                 Route("POST", "/standin/instances", self._handle_list_change),
                 Route("GET", "/standin/counts", self._handle_counts),
             ]
@@ -55,28 +55,28 @@
 
     async def _handle_read(self, call: Call) -> None:
         keys = await call.read_json(list[str], MAX_BODY_BYTES)
-        await self._fail_if_told()
+        await self._inject_fault()
         self.state.reads += len(keys)
         rows = [self.state.rows[key] for key in keys if key in self.state.rows]
         await call.reply_json(ReadAnswer(rows))
 
     async def _handle_transaction(self, call: Call) -> None:
         transaction = await call.read_json(Transaction, MAX_BODY_BYTES)
-        await self._fail_if_told()
+        await self._inject_fault()
         answer = self.state.commit(transaction)
         if self.state.mode is PlatformMode.LOST:
-            raise AnswerAborted("answer lost after the write")
+            raise AnswerAborted("fault injection: response lost after the write")
         await call.reply_json(answer)
 
     async def _handle_instances(self, call: Call) -> None:
-        number = await call.read_json(int, MAX_BODY_BYTES)
-        await self._fail_if_told()
-        await call.reply_json(self.state.instances.since(number))
-
-    async def _handle_switch(self, call: Call) -> None:
-        switch = await call.read_json(Switch, MAX_BODY_BYTES)
-        self.state.mode = switch.mode
-        self.state.delay = switch.delay
+        version = await call.read_json(int, MAX_BODY_BYTES)
+        await self._inject_fault()
+        await call.reply_json(self.state.instances.since(version))
+
+    async def _handle_mode_change(self, call: Call) -> None:
+        change = await call.read_json(ModeChange, MAX_BODY_BYTES)
+        self.state.mode = change.mode
+        self.state.delay = change.delay
         await call.reply_json(True)
 
     async def _handle_list_change(self, call: Call) -> None:
@@ -91,10 +91,10 @@
         counts = {"reads": self.state.reads, "writes": self.state.writes}
         await call.reply_json(counts)
 
-    async def _fail_if_told(self) -> None:
+    async def _inject_fault(self) -> None:
         match self.state.mode:
             case PlatformMode.DOWN:
-                raise AnswerAborted("platform is down")
+                raise AnswerAborted("fault injection: platform is down")
             case PlatformMode.SLOW:
                 await anyio.sleep(self.state.delay)
             case _:
--- a/packages/standins/src/briarthread_standins/platform_state.py
+++ b/packages/standins/src/briarthread_standins/platform_state.py
@@ -18,9 +18,9 @@
 
 class PlatformMode(StrEnum):
     """
-    Tell how the platform behaves.
+    The behaviour of the platform stand-in.
 
-    ``LOST`` commits a transaction and then gives no answer.
+    With ``LOST`` it commits a transaction and then sends no response.
     """
 
     UP = "up"
@@ -30,7 +30,7 @@
 
 
 class PlatformState:
-    """Hold the rows of the table and the instance list."""
+    """The rows of the table and the instance list."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
@@ -59,19 +59,19 @@
         return TransactionAnswer(True)
 
     def version(self, key: str) -> int:
-        """Return the version of a row, ABSENT if there is none."""
+        """Return the version of a row, ``ABSENT`` if it does not exist."""
         row = self.rows.get(key)
         return row.version if row else ABSENT
 
     def put_instances(self, instances: list[Instance]) -> None:
-        """Put instances on the list, or change how they are listed."""
-        self._change({row.name: _encode(row) for row in instances})
+        """Add instances to the list, or update their entries."""
+        self._install({row.name: _encode(row) for row in instances})
 
     def remove_instances(self, names: list[str]) -> None:
-        """Take instances off the list."""
-        self._change(dict.fromkeys(names))
+        """Remove instances from the list."""
+        self._install(dict.fromkeys(names))
 
-    def _change(self, changes: dict[str, str | None]) -> None:
+    def _install(self, changes: dict[str, str | None]) -> None:
         number = self.instances.number
         self.instances.install(FeedPatch("instances", number, number + 1, changes))
 
--- a/packages/standins/src/briarthread_standins/rank_group.py
+++ b/packages/standins/src/briarthread_standins/rank_group.py
@@ -1,4 +1,4 @@
-"""Engines that run in lock-step on an expert map."""
+"""Stand-ins for engines that run in lock-step on an expert map."""
 
 from dataclasses import dataclass, field
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mismatch:
-    """Record a step in which ranks were on different maps."""
+    """A step in which ranks were on different maps."""
 
     step: int
     versions: tuple[int, ...]
@@ -31,15 +31,15 @@
 
 class RankEngine:
     """
-    Stand in for the engine of one rank.
+    A stand-in for the engine of one rank.
 
-    With ``fencing`` off it takes any order, also one of an agent long gone,
-    and a late switch then takes effect at once.
+    With ``fencing`` off it accepts any order, even from an agent that was replaced
+    long ago, and a late switch takes effect at once.
     """
 
-    def __init__(self, fencing: bool, first_map: ExpertMap | None = None) -> None:
+    def __init__(self, fencing: bool, initial_map: ExpertMap | None = None) -> None:
         self.fencing = fencing
-        self.maps = {FIRST_MAP: first_map or even_map(FIRST_MAP, 1, 1, 1)}
+        self.maps = {FIRST_MAP: initial_map or even_map(FIRST_MAP, 1, 1, 1)}
         self.counts: list[list[int]] = []
         self.fencing_token = (0, 0)
         self.alive = True
@@ -58,13 +58,13 @@
         )
 
     def restart(self) -> None:
-        """Lose everything, as a replaced rank does; the step is the group's."""
+        """Lose all state but the group's step, as a replaced rank does."""
         self.fencing_token = (0, 0)
         self.version = self.staged = self.scheduled = 0
         self.hold_for = self.hold_step = 0
 
     def state(self) -> EngineState:
-        """Return how the engine stands."""
+        """Return the state that the engine reports."""
         return EngineState(
             self.step,
             self.version,
@@ -76,31 +76,31 @@
         )
 
     def is_held(self) -> bool:
-        """Tell whether it waits for a decision before its next step."""
+        """Return whether the engine waits for a decision before its next step."""
         return bool(
             self.hold_for and self.step >= self.hold_step and not self.scheduled
         )
 
     def can_step(self) -> bool:
-        """Tell whether it takes part in a step now."""
+        """Return whether the engine can take part in a step now."""
         return self.alive and self.version != 0 and not self.is_held()
 
     def begin_step(self) -> None:
-        """Switch to the scheduled map if this is its first step."""
+        """Switch to the scheduled map if it is due at this step."""
         if self.scheduled and self.step >= self.hold_step:
             self.version = self.scheduled
             self.scheduled = self.hold_for = self.hold_step = 0
 
     async def apply_order(self, order: EngineOrder) -> OrderAnswer:
-        """Carry an order out."""
-        token = (order.epoch, order.fence)
-        if self.fencing and token < self.fencing_token:
+        """Check an order's fencing token, execute the order and return the result."""
+        order_token = (order.epoch, order.fence)
+        if self.fencing and order_token < self.fencing_token:
             return OrderAnswer(False, self.state(), "old fencing number")
-        self.fencing_token = max(self.fencing_token, token)
-        reason = await self._carry_out(order)
+        self.fencing_token = max(self.fencing_token, order_token)
+        reason = await self._execute(order)
         return OrderAnswer(not reason, self.state(), reason)
 
-    async def _carry_out(self, order: EngineOrder) -> str:
+    async def _execute(self, order: EngineOrder) -> str:
         match order.kind:
             case OrderKind.STAGE:
                 await anyio.sleep(STAGE_SECONDS)
@@ -156,7 +156,7 @@
 @dataclass(slots=True)
 class RankGroup:
     """
-    Step all ranks together, and note every step with more than one map.
+    A group that steps all ranks together and records steps with more than one map.
 
     ``step_time`` is in seconds.
     """
@@ -167,7 +167,7 @@
     mismatches: list[Mismatch] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Step until cancelled; no rank steps without all others."""
+        """Run steps until cancelled; a step needs all ranks."""
         while True:
             if all(engine.can_step() for engine in self.engines):
                 self.run_step()
--- a/packages/standins/src/briarthread_standins/rank_group_app.py
+++ b/packages/standins/src/briarthread_standins/rank_group_app.py
@@ -1,18 +1,18 @@
 """
-Serve the engines of a lock-step group from one process.
+Serve stand-ins for the engines of a lock-step group from one process.
 
 Usage:
   rank_group_app [--ranks=N] [--experts=N] [--step=SECONDS] [--no-fencing] FIRST
 
 Options:
-  --ranks=N       Ranks, at IP:PORT and the ports after it [default: 4].
-  --experts=N     Experts of the one layer [default: 16].
-  --step=SECONDS  Time of a step [default: 0.006].
-  --no-fencing    Take orders under old fencing numbers too.
+  --ranks=N       Number of ranks, on consecutive ports [default: 4].
+  --experts=N     Experts in the single layer [default: 16].
+  --step=SECONDS  Duration of a step [default: 0.006].
+  --no-fencing    Accept orders with outdated fencing tokens.
 
 FIRST is the IP:PORT of the first rank. Each step routes tokens to experts in a
-fixed, uneven way, so that a planner has something to do. GET /standin/group at
-any rank tells the steps run and those with more than one map.
+fixed, uneven way, so that a planner has a load to balance. GET /standin/group at
+any rank returns the number of steps and of steps with more than one map.
 """
 
 import anyio
@@ -30,30 +30,30 @@
 
 
 class RankGroupApp:
-    """Hold a group and count the tokens of its experts."""
+    """Serve a group and count the tokens of its experts."""
 
     def __init__(self, ranks: int, experts: int, step: float, fencing: bool) -> None:
-        first = even_map(FIRST_MAP, 1, experts, ranks)
-        engines = [RankEngine(fencing, first) for _ in range(ranks)]
+        initial_map = even_map(FIRST_MAP, 1, experts, ranks)
+        engines = [RankEngine(fencing, initial_map) for _ in range(ranks)]
         self.group = RankGroup(engines, step)
         self.tokens = [
             HOT_TOKENS if expert < HOT_EXPERTS else COLD_TOKENS
             for expert in range(experts)
         ]
         for engine in engines:
-            engine.app.routes.append(Route("GET", "/standin/group", self._handle))
+            engine.app.routes.append(Route("GET", "/standin/group", self._handle_state))
 
     async def count_tokens(self) -> None:
-        """Keep the engines' counts in line with the steps run."""
+        """Update the engines' expert counts after each step until cancelled."""
         while True:
             counts = [[self.group.step * tokens for tokens in self.tokens]]
             for engine in self.group.engines:
                 engine.counts = counts
             await anyio.sleep(self.group.step_time)
 
-    async def run(self, first: str) -> None:
+    async def run(self, first_address: str) -> None:
         """Serve all ranks until a signal stops the process."""
-        host, _, port = first.rpartition(":")
+        host, _, port = first_address.rpartition(":")
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.group.run)
             tasks.start_soon(self.count_tokens)
@@ -65,9 +65,9 @@
             )
             tasks.cancel_scope.cancel()
 
-    async def _handle(self, call: Call) -> None:
-        state = {"steps": self.group.step, "mismatches": len(self.group.mismatches)}
-        await call.reply_json(state)
+    async def _handle_state(self, call: Call) -> None:
+        response = {"steps": self.group.step, "mismatches": len(self.group.mismatches)}
+        await call.reply_json(response)
 
 
 def main() -> None:
--- a/packages/standins/src/briarthread_standins/refusals.py
+++ b/packages/standins/src/briarthread_standins/refusals.py
@@ -11,11 +11,12 @@
 @dataclass(slots=True)
 class Refusals:
     """
-    Refuse requests for a while and request a backoff from each caller.
+    Refuse requests during a period and ask each caller to back off.
 
     Requests from ``start`` until ``end``, in seconds, are refused. ``retry_after`` is
     the value of the header, ``seconds`` the backoff that it stands for. ``arrivals``
-    holds the time and the caller of each request, ``refused`` those of each refusal.
+    holds the time and the caller of each request, ``refused`` those of each refused
+    one.
     """
 
     start: float = 0.0
@@ -26,7 +27,7 @@
     refused: list[tuple[float, str]] = field(default_factory=list)
 
     def refuse(self, start: float, end: float, seconds: float) -> None:
-        """Refuse everything in a period, with a Retry-After of ``seconds``."""
+        """Refuse all requests in a period, with a Retry-After of ``seconds``."""
         self.start, self.end = start, end
         self.seconds, self.retry_after = seconds, f"{seconds:g}"
 
@@ -54,4 +55,6 @@
 
     def _early_requests(self, refused_at: float, caller: str) -> int:
         start, end = refused_at + GRACE_SECONDS, refused_at + self.seconds
-        return sum(who == caller and start <= at < end for at, who in self.arrivals)
+        return sum(
+            sender == caller and start <= at < end for at, sender in self.arrivals
+        )
--- a/packages/standins/src/briarthread_standins/run_standin.py
+++ b/packages/standins/src/briarthread_standins/run_standin.py
@@ -1,4 +1,4 @@
-"""Running of a stand-in as a process."""
+"""Serve stand-ins as processes."""
 
 import signal
 from typing import Any
@@ -13,12 +13,12 @@
 
 
 def run_standin(app: Any, listen: str) -> None:
-    """Serve a stand-in's application until a signal stops it."""
+    """Serve a stand-in's application until SIGTERM or SIGINT."""
     anyio.run(HttpServer(app, [open_listener(listen)], 1).run, _no_drain)
 
 
 async def serve_all(apps: dict[str, Any]) -> None:
-    """Serve several applications by their IP:PORT until a signal comes."""
+    """Serve applications, keyed by their IP:PORT, until SIGTERM or SIGINT."""
     servers = [
         HttpServer(app, [open_listener(listen)], 1) for listen, app in apps.items()
     ]
--- a/packages/standins/src/briarthread_standins/stream_engine.py
+++ b/packages/standins/src/briarthread_standins/stream_engine.py
@@ -1,4 +1,4 @@
-"""An engine that streams tokens in steps."""
+"""A stand-in for an engine that streams tokens in steps."""
 
 from dataclasses import dataclass
 
@@ -11,20 +11,20 @@
 from briarthread_standins.run_standin import run_standin
 
 USAGE = """
-Stand in for a model engine that batches continuously.
+Stand in for a model engine with continuous batching.
 
 Usage:
   stream_engine [--step=SECONDS] LISTEN
 
 Options:
-  --step=SECONDS  Time of one step [default: 0.006].
+  --step=SECONDS  Duration of a step [default: 0.006].
 """
 MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """Ask for a number of tokens."""
+    """A request for a number of tokens."""
 
     tokens: int
     prompt: str = ""
@@ -32,10 +32,9 @@
 
 class StreamEngine:
     """
-    Stream one token a step to each running request, as events.
+    Stream one token per step to each running request, as server-sent events.
 
-    A caller that hangs up is taken out of the batch at the next step;
-    ``cancelled`` counts those.
+    A request whose caller disconnects leaves the batch; ``cancelled`` counts those.
     """
 
     def __init__(self, step: float = 0.006) -> None:
@@ -50,14 +49,14 @@
         )
 
     async def _handle_generate(self, call: Call) -> None:
-        message = await call.read_json(GenerateRequest, MAX_BODY_BYTES)
+        request = await call.read_json(GenerateRequest, MAX_BODY_BYTES)
         await call.start(200, [("content-type", "text/event-stream")])
         self.batch += 1
         finished = False
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call.cancel_on_disconnect, tasks.cancel_scope)
-                await self._send_tokens(call, message.tokens)
+                await self._send_tokens(call, request.tokens)
                 finished = True
                 tasks.cancel_scope.cancel()
         finally:
--- a/packages/standins/src/briarthread_standins/virtual_time.py
+++ b/packages/standins/src/briarthread_standins/virtual_time.py
@@ -1,4 +1,4 @@
-"""Running of asynchronous code in virtual time."""
+"""Execution of asynchronous code in virtual time."""
 
 import asyncio
 import selectors
@@ -10,15 +10,15 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """A selector that moves the loop's clock instead of waiting."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that advances the loop's clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
-        """Return ready files at once; jump ahead when there are none."""
+        """Return ready files at once; advance the clock when there are none."""
         ready = super().select(0)
         if ready:
             return ready
@@ -29,15 +29,15 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An asyncio loop whose time passes only when all tasks wait."""
+    """An asyncio loop whose time advances only while all tasks wait."""
 
     def __init__(self) -> None:
-        self.jumping = _JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = _VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 def run_virtual(function: Callable[..., Awaitable[T]], *arguments: Any) -> T:
--- a/packages/standins/src/briarthread_standins/world.py
+++ b/packages/standins/src/briarthread_standins/world.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process and in virtual time."""
+"""A simulated deployment in one process."""
 
 import random
 from dataclasses import dataclass, field
@@ -33,13 +33,15 @@
 PLATFORM_SITE = "platform"
 CALLER_SITE = "callers"
 DRAIN_NOTICE = 1.0
+"""Drain notice in seconds."""
 DRAIN_TIMEOUT = 30.0
+"""Drain timeout in seconds."""
 MAX_SEED = 2**32
 
 
 @dataclass(frozen=True, slots=True)
 class CallerResponse:
-    """Hold what a caller got."""
+    """A response as a caller received it."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -47,26 +49,26 @@
 
     @property
     def outcome(self) -> str:
-        """Return the promise of a failed answer, or nothing."""
+        """Return the outcome that a failed response names, or an empty string."""
         return self.headers.get("briarthread-outcome", "")
 
 
 @dataclass(eq=False, slots=True)
 class RunningProcess:
-    """Hold one running process of the deployment."""
+    """One running process of the deployment."""
 
     instance: Instance
-    part: Entry | Agent
+    component: Entry | Agent
     scope: anyio.CancelScope
 
 
 class World:
     """
-    Run entries, agents, targets and the platform over a fake network.
+    Run entries, agents, targets and the platform on a fake network.
 
-    Each data centre is a site of the network, so that sites can be cut off
-    from each other, from the platform and from callers. Targets live on when
-    their agent is killed, and keep their counts.
+    Each data centre is a site of the network, so that it can be partitioned from the
+    others, from the platform and from callers. Targets keep running and keep their
+    counts when their agent is killed.
     """
 
     def __init__(self, tasks: TaskGroup, seed: int = 0) -> None:
@@ -79,10 +81,10 @@
         self.processes: dict[str, RunningProcess] = {}
         self.services: dict[str, PlainService] = {}
         self.instances: dict[str, Instance] = {}
-        self.hosts = 0
+        self.host_count = 0
 
     def add_entry(self, name: str, data_centre: str) -> Instance:
-        """Put an entry on the platform's list and start it."""
+        """Register an entry with the platform and start it."""
         address = self._next_address()
         instance = Instance(name, data_centre, address, InstanceRole.ENTRY)
         return self._add(instance)
@@ -90,7 +92,7 @@
     def add_target(
         self, name: str, data_centre: str, service: str, delay: float = 0.005
     ) -> Instance:
-        """Put a target with its agent on the list and start both."""
+        """Register a target with its agent and start both."""
         target = PlainService(delay)
         self.services[name] = target
         self.network.listen(f"target-{name}", f"slot-{name}", target.app)
@@ -104,10 +106,10 @@
         data_centre: str,
         service: str,
         fencing: bool,
-        first_map: ExpertMap | None = None,
+        initial_map: ExpertMap | None = None,
     ) -> RankGroup:
-        """Put the targets of a lock-step group on the list and start them."""
-        engines = [RankEngine(fencing, first_map) for _ in names]
+        """Register the targets of a lock-step group and start them."""
+        engines = [RankEngine(fencing, initial_map) for _ in names]
         group = RankGroup(engines)
         for name, engine in zip(names, engines, strict=True):
             self.network.listen(
@@ -131,21 +133,21 @@
             self.tasks.start_soon(self._run_agent, instance, channel, rng)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
-        member = self.processes.pop(name, None)
-        if member is not None:
-            self.network.close(member.instance.address)
-            member.scope.cancel()
+        """Kill a process without draining it."""
+        process = self.processes.pop(name, None)
+        if process is not None:
+            self.network.close(process.instance.address)
+            process.scope.cancel()
 
     async def stop(self, name: str) -> None:
         """Stop a process gracefully."""
-        member = self.processes[name]
-        await member.part.drain()
-        await self._wait_calls(member.instance.address)
+        process = self.processes[name]
+        await process.component.drain()
+        await self._wait_for_calls(process.instance.address)
         self.kill(name)
 
     def mark_leaving(self, name: str) -> None:
-        """Let the platform's list say that an instance leaves."""
+        """Mark an instance as leaving in the platform's list."""
         row = self.instances[name]
         leaving = Instance(
             row.name,
@@ -174,7 +176,7 @@
         timeout: float | None = None,
         method: str = "POST",
     ) -> CallerResponse:
-        """Send a caller's request through an entry and return its answer."""
+        """Send a caller's request through an entry and return the response."""
         headers = [("authorization", f"Bearer {account_key}")]
         if key is not None:
             headers.append(("idempotency-key", key))
@@ -189,34 +191,34 @@
         )
         channel = self.network.channel("caller", CALLER_SITE)
         async with channel.stream(request) as response:
-            parts = [chunk async for chunk in response.body]
+            chunks = [chunk async for chunk in response.body]
             return CallerResponse(
-                response.status, dict(response.headers), b"".join(parts)
+                response.status, dict(response.headers), b"".join(chunks)
             )
 
     def run_count(self, body: str) -> int:
-        """Return how often a body ran over all targets."""
+        """Return how often a body ran, over all targets."""
         return sum(service.runs[body] for service in self.services.values())
 
     def agent(self, name: str) -> Agent:
         """Return the running agent of a target."""
-        part = self.processes[name].part
-        if not isinstance(part, Agent):
-            raise TypeError(f"{name} is no agent")
-        return part
+        component = self.processes[name].component
+        if not isinstance(component, Agent):
+            raise TypeError(f"{name} is not an agent")
+        return component
 
     def entry(self, name: str) -> Entry:
         """Return a running entry."""
-        part = self.processes[name].part
-        if not isinstance(part, Entry):
-            raise TypeError(f"{name} is no entry")
-        return part
+        component = self.processes[name].component
+        if not isinstance(component, Entry):
+            raise TypeError(f"{name} is not an entry")
+        return component
 
     def text_versions(self) -> dict[str, int]:
-        """Return the text version in force in each running process."""
+        """Return the active text version of each running process."""
         return {
-            name: member.part.text.current().number
-            for name, member in self.processes.items()
+            name: process.component.text.current().number
+            for name, process in self.processes.items()
         }
 
     async def _run_entry(
@@ -225,7 +227,7 @@
         settings = EntrySettings(**self._shared_settings(instance))
         async with anyio.create_task_group() as tasks:
             entry = Entry(settings, channel, self.clock, rng)
-            self._join(instance, entry, entry.app, tasks.cancel_scope)
+            self._register_process(instance, entry, entry.app, tasks.cancel_scope)
             entry.start(tasks)
             await anyio.sleep_forever()
 
@@ -239,19 +241,19 @@
         )
         async with anyio.create_task_group() as tasks:
             agent = Agent(settings, channel, self.clock, tasks, rng)
-            self._join(instance, agent, agent.app, tasks.cancel_scope)
+            self._register_process(instance, agent, agent.app, tasks.cancel_scope)
             agent.start()
             await anyio.sleep_forever()
 
-    def _join(
+    def _register_process(
         self,
         instance: Instance,
-        part: Entry | Agent,
+        component: Entry | Agent,
         app: object,
         scope: anyio.CancelScope,
     ) -> None:
         self.network.listen(instance.address, instance.data_centre, app)
-        self.processes[instance.name] = RunningProcess(instance, part, scope)
+        self.processes[instance.name] = RunningProcess(instance, component, scope)
 
     def _shared_settings(self, instance: Instance) -> dict[str, object]:
         return {
@@ -260,12 +262,12 @@
             "listen": instance.address,
             "platform_addresses": (PLATFORM_ADDRESS,),
             "platform_timeout": 2.0,
-            "spread": self._spread_options(instance),
+            "spread": self._replication_options(instance),
             "drain_notice": DRAIN_NOTICE,
             "drain_timeout": DRAIN_TIMEOUT,
         }
 
-    def _spread_options(self, instance: Instance) -> ReplicationOptions:
+    def _replication_options(self, instance: Instance) -> ReplicationOptions:
         seeds = [
             row.address for row in self.instances.values() if row.name != instance.name
         ]
@@ -279,13 +281,13 @@
         self.start(instance.name)
         return instance
 
-    async def _wait_calls(self, address: str) -> None:
-        """Wait for the calls in flight, as the HTTP server does at a stop."""
+    async def _wait_for_calls(self, address: str) -> None:
+        """Wait for calls in flight, as the HTTP server does on shutdown."""
         node = self.network.nodes[address]
         with anyio.move_on_after(DRAIN_TIMEOUT):
             while node.calls:
                 await anyio.sleep(0.05)
 
     def _next_address(self) -> str:
-        self.hosts += 1
-        return f"10.0.{self.hosts // 250 + 1}.{self.hosts % 250 + 1}:80"
+        self.host_count += 1
+        return f"10.0.{self.host_count // 250 + 1}.{self.host_count % 250 + 1}:80"
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -15,17 +15,17 @@
 T = TypeVar("T")
 DATA_CENTRES = ("palermo", "catania", "messina")
 START_SECONDS = 12.0
-"""Virtual time in which a small world comes up and claims its shares."""
+"""Virtual time in which a small world starts and claims its shares."""
 
 
 def build_head(status: int, *fields: tuple[str, str]) -> ChannelResponse:
     """Return a response with the given header fields and an empty body."""
 
-    async def no_body() -> AsyncIterator[bytes]:
+    async def empty_body() -> AsyncIterator[bytes]:
         return
         yield b""
 
-    return ChannelResponse(status, dict(fields), no_body(), fields)
+    return ChannelResponse(status, dict(fields), empty_body(), fields)
 
 
 def build_service(**changes: object) -> Service:
@@ -73,15 +73,15 @@
     diary_options: str = "",
     more: str = "",
 ) -> str:
-    """Return a services text with a diary, cards and three accounts."""
-    listed = ", ".join(data_centres)
+    """Return a services text with the services diary and cards and three accounts."""
+    data_centre_names = ", ".join(data_centres)
     sections = [f"[data_centre {name}]\n" for name in data_centres]
     sections.append(
-        f"[service diary]\ndata_centres = {listed}\nshares = 3\ndeadline = 5\n"
+        f"[service diary]\ndata_centres = {data_centre_names}\nshares = 3\ndeadline = 5\n"
         f"max_deadline = 20\nretry_horizon = 60\npatience = 1\n{diary_options}"
     )
     sections.append(
-        f"[service cards]\ndata_centres = {listed}\nidempotent = yes\n"
+        f"[service cards]\ndata_centres = {data_centre_names}\nidempotent = yes\n"
         "deadline = 5\npatience = 1\n"
     )
     for number in range(3):
@@ -102,7 +102,7 @@
     targets: int = 2,
     services: tuple[str, ...] = ("diary", "cards"),
 ) -> World:
-    """Return a started world of some data centres."""
+    """Return a started world with the given data centres."""
     world = World(tasks, seed)
     for data_centre in data_centres:
         for number in range(entries):
@@ -119,7 +119,7 @@
     text: str | None = None,
     **options: object,
 ) -> T:
-    """Run a scenario in a world that is up, in virtual time."""
+    """Run a scenario in virtual time in a started world."""
 
     async def run() -> T:
         async with anyio.create_task_group() as tasks:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail for a real fault, listed in KNOWN-RED.txt."""
+"""Support for tests in KNOWN-RED.txt, which fail because of a known fault."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def known_red() -> list[str]:
-    """Return the tests of the list, by the first field of each entry."""
+    """Return the first field of each entry of the list, a test's node id."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
@@ -17,7 +17,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Expect listed tests to fail; one that passes has to leave the list."""
+    """Expect listed tests to fail; one that passes must be removed from the list."""
     for item in items:
         for listed in known_red():
             if item.nodeid == listed or item.nodeid.startswith(f"{listed}["):
@@ -26,6 +26,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list at the end of each run."""
+    """Print the listed tests at the end of each run."""
     for listed in known_red():
         terminalreporter.write_line(f"KNOWN RED: {listed}")
--- a/tests/direct/test_pass_meter.py
+++ b/tests/direct/test_pass_meter.py
@@ -1,7 +1,7 @@
 """Measurement of a group's passes on an entry's own streams."""
 
 import pytest
-from direct_builders import build_engine
+from direct_builders import build_engine_profile
 
 from briarthread_entry.direct.group_concurrency import (
     initial_request_cost,
@@ -14,7 +14,7 @@
 
 def build_meter() -> PassMeter:
     """Return the meter of an entry that has just started."""
-    engine = build_engine()
+    engine = build_engine_profile()
     return PassMeter(
         engine.steps_per_pass * engine.step_seconds, initial_request_cost(engine, RANKS)
     )
@@ -22,7 +22,9 @@
 
 def concurrency_limit(meter: PassMeter, now: float) -> int:
     """Return the concurrency limit that follows from a meter."""
-    return max_concurrency(RANKS, build_engine(), PAUSE_AIM, meter.request_cost(now))
+    return max_concurrency(
+        RANKS, build_engine_profile(), PAUSE_AIM, meter.request_cost(now)
+    )
 
 
 def test_first_pauses_after_a_restart_do_not_close_the_group() -> None:
--- a/tests/direct_builders.py
+++ b/tests/direct_builders.py
@@ -26,13 +26,13 @@
 __all__ = ["DIARY", "MODEL", "build_config", "build_engine_row", "build_route_row"]
 
 
-def build_engine() -> EngineProfile:
-    """Return the figures of an engine with six slots."""
+def build_engine_profile() -> EngineProfile:
+    """Return the performance profile of an engine with six slots."""
     return EngineProfile(6, 0.00585, 0.00071, 0.00007, 61200.0, 0.0003, 512, 5)
 
 
 def build_target(name: str = "t-1", **changes: object) -> DirectTarget:
-    """Return a target of the diary."""
+    """Return a target of the diary service."""
     fields: dict[str, object] = {
         "name": name,
         "service": DIARY,
@@ -45,12 +45,12 @@
 
 
 def build_state(name: str = "t-1", **changes: object) -> DirectTargetState:
-    """Return the state of a target of the diary."""
+    """Return the state of a target of the diary service."""
     return DirectTargetState(build_target(name, **changes))
 
 
 def build_direct_request(**changes: object) -> DirectRequest:
-    """Return a request of a stream's route."""
+    """Return a request for a streaming route."""
     route = HostRoute(
         "chat",
         "salon.example",
@@ -70,7 +70,7 @@
         "headers": (),
         "body": b"x",
         "route": route,
-        "service": DirectService(MODEL, 100, build_engine()),
+        "service": DirectService(MODEL, 100, build_engine_profile()),
         "account": "salon",
         "priority": 1,
         "arrived": 0.0,
@@ -88,9 +88,9 @@
     data_centres: tuple[str, ...] = ("palermo",),
 ) -> None:
     """
-    Run a scenario in virtual time in a world that has come up.
+    Run a scenario in virtual time in a started world.
 
-    Entries are dealt out to the data centres in turn.
+    Entries are assigned to the data centres round-robin.
     """
 
     async def run() -> None:
@@ -122,8 +122,8 @@
     """
     Run a scenario in virtual time with groups whose agents have started.
 
-    ``link_rate`` is what each instance can send, in bytes a second; 0 is any.
-    ``sizes`` gives the ranks of each group, where there are several.
+    ``link_rate`` is the sending bandwidth of each instance in bytes per second, 0 for
+    no limit. ``sizes`` gives the number of ranks of each group if there are several.
     """
 
     async def run() -> None:
@@ -144,7 +144,7 @@
 
 
 def build_group_config(world: GroupWorld) -> dict[str, object]:
-    """Return a config whose model has experts."""
+    """Return a configuration whose model has experts."""
     engine = {
         **build_engine_row(),
         "sets": world.sets,
@@ -157,9 +157,9 @@
 
 
 def skew_demand(group: DirectGroup, hot: int) -> None:
-    """Make some experts of each set much liked, ``hot`` first of them."""
+    """Concentrate each set's demand on three experts, starting with ``hot``."""
     for demand in group.demand:
         for expert in range(group.experts):
             demand[expert] = 1.0
-        for offset, liked in enumerate((30.0, 12.0, 6.0)):
-            demand[(hot + offset) % group.experts] = liked
+        for offset, weight in enumerate((30.0, 12.0, 6.0)):
+            demand[(hot + offset) % group.experts] = weight
--- a/tests/live_world.py
+++ b/tests/live_world.py
@@ -1,4 +1,4 @@
-"""A world that lives on between the steps of a test."""
+"""A simulated world that persists between the steps of a test."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -15,9 +15,9 @@
 
 class LiveWorld:
     """
-    Hold a world in a virtual loop that runs only while a step needs it.
+    Run a world in a virtual loop that runs only during the steps of a test.
 
-    ``build`` brings the world up in a task group that ``close`` ends.
+    ``build`` starts the world in a task group that ``close`` cancels.
     """
 
     def __init__(self, build: Build) -> None:
@@ -25,37 +25,37 @@
         self.world: World
         self.tasks: anyio.abc.TaskGroup
         ready = asyncio.Event()
-        self.holder = self.loop.create_task(self._hold(build, ready))
+        self.world_task = self.loop.create_task(self._run_world(build, ready))
         self.run(ready.wait())
 
     def call(self, function: Callable[..., object], *arguments: object) -> None:
-        """Call a function inside the loop."""
+        """Call a synchronous function inside the loop."""
 
-        async def act() -> None:
+        async def call_function() -> None:
             function(*arguments)
             await anyio.sleep(0)
 
-        self.run(act())
+        self.run(call_function())
 
     def advance(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         self.run(anyio.sleep(seconds))
 
     def run(self, awaitable: Awaitable[T]) -> T:
         """Run the loop until an awaitable is done."""
-        if self.holder.done():
-            self.holder.result()
+        if self.world_task.done():
+            self.world_task.result()
         return self.loop.run_until_complete(awaitable)
 
     def close(self) -> None:
-        """End every task and the loop."""
-        self.holder.cancel()
+        """Cancel all tasks and close the loop."""
+        self.world_task.cancel()
         self.loop.run_until_complete(
-            asyncio.gather(self.holder, return_exceptions=True)
+            asyncio.gather(self.world_task, return_exceptions=True)
         )
         self.loop.close()
 
-    async def _hold(self, build: Build, ready: asyncio.Event) -> None:
+    async def _run_world(self, build: Build, ready: asyncio.Event) -> None:
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
             self.world = await build(tasks)
