--- a/packages/standins/src/briarthread_standins/limit_results.py
+++ b/packages/standins/src/briarthread_standins/limit_results.py
@@ -45,8 +45,8 @@
 
     def arrivals_per_second(self, target: int, since: float, until: float) -> float:
         """Return the mean rate of arrivals at a target between two times."""
-        arrivals = sum(since <= at < until for at in self.arrivals[target])
-        return arrivals / (until - since)
+        count = sum(since <= at < until for at in self.arrivals[target])
+        return count / (until - since)
 
 
 def max_allowed_arrivals(limit: float) -> float:
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -73,7 +73,7 @@
     diary_options: str = "",
     more: str = "",
 ) -> str:
-    """Return a services text with the services diary and cards and three accounts."""
+    """Return a services text with two services and three accounts."""
     data_centre_names = ", ".join(data_centres)
     sections = [f"[data_centre {name}]\n" for name in data_centres]
     sections.append(
