--- a/tests/builders.py
+++ b/tests/builders.py
@@ -74,14 +74,14 @@
     more: str = "",
 ) -> str:
     """Return a services text with two services and three accounts."""
-    data_centre_names = ", ".join(data_centres)
+    names = ", ".join(data_centres)
     sections = [f"[data_centre {name}]\n" for name in data_centres]
     sections.append(
-        f"[service diary]\ndata_centres = {data_centre_names}\nshares = 3\ndeadline = 5\n"
+        f"[service diary]\ndata_centres = {names}\nshares = 3\ndeadline = 5\n"
         f"max_deadline = 20\nretry_horizon = 60\npatience = 1\n{diary_options}"
     )
     sections.append(
-        f"[service cards]\ndata_centres = {data_centre_names}\nidempotent = yes\n"
+        f"[service cards]\ndata_centres = {names}\nidempotent = yes\n"
         "deadline = 5\npatience = 1\n"
     )
     for number in range(3):
--- a/tests/scenarios/test_promises.py
+++ b/tests/scenarios/test_promises.py
@@ -19,26 +19,25 @@
 
 scenarios("promises.feature")
 
-SITES = ("palermo", "catania")
+DATA_CENTRES = ("palermo", "catania")
 ENTRY, OTHER_ENTRY = "entry-palermo-0", "entry-catania-0"
 NEW_MAP = 7
 
 
 @dataclass
-class Story:
-    """Hold what a scenario remembers from step to step."""
+class ScenarioState:
+    """State that the steps of a scenario share."""
 
-    live: LiveWorld | None = None
+    live_world: LiveWorld | None = None
     group: RankGroup | None = None
-    answers: dict[str, CallerResponse] = field(default_factory=dict)
-    applied: list[ApplyResult] = field(default_factory=list)
-    seen: dict[str, list[int]] = field(default_factory=dict)
-    before: int = 0
+    responses: dict[str, CallerResponse] = field(default_factory=dict)
+    apply_results: list[ApplyResult] = field(default_factory=list)
+    observed_versions: dict[str, list[int]] = field(default_factory=dict)
+    runs_before: int = 0
 
     @property
     def world(self) -> World:
-        """Return the world."""
-        return self.live.world
+        return self.live_world.world
 
     async def book(
         self,
@@ -49,8 +48,8 @@
         service: str = "diary",
         timeout: float = 5.0,
     ) -> None:
-        """Ask once and remember the answer under a name."""
-        self.answers[name] = await self.world.call(
+        """Send one booking and record the response under a name."""
+        self.responses[name] = await self.world.call(
             entry,
             f"{service}/x",
             f"salon-{account}",
@@ -61,48 +60,48 @@
 
 
 @pytest.fixture
-def story() -> Iterator[Story]:
-    story = Story()
-    yield story
-    story.live.close()
+def state() -> Iterator[ScenarioState]:
+    state = ScenarioState()
+    yield state
+    state.live_world.close()
 
 
 @given("two data centres")
-def two_data_centres(story: Story) -> None:
+def two_data_centres(state: ScenarioState) -> None:
     async def build(tasks: anyio.abc.TaskGroup) -> World:
-        world = build_world(tasks, 0, SITES)
+        world = build_world(tasks, 0, DATA_CENTRES)
         await anyio.sleep(1)
-        await world.apply(build_text(SITES))
+        await world.apply(build_text(DATA_CENTRES))
         await anyio.sleep(START_SECONDS)
         return world
 
-    story.live = LiveWorld(build)
+    state.live_world = LiveWorld(build)
 
 
 @given("a group of three ranks")
-def group_of_three(story: Story) -> None:
+def group_of_three(state: ScenarioState) -> None:
     async def build(tasks: anyio.abc.TaskGroup) -> World:
         world = World(tasks, 0)
-        world.add_entry("entry-0", SITES[0])
-        story.group = world.add_group(list(RANKS), SITES[0], "assistant", True)
+        world.add_entry("entry-0", DATA_CENTRES[0])
+        state.group = world.add_group(list(RANKS), DATA_CENTRES[0], "assistant", True)
         await anyio.sleep(1)
-        await world.apply(build_text((SITES[0],), more=GROUP_TEXT))
+        await world.apply(build_text((DATA_CENTRES[0],), more=GROUP_TEXT))
         await anyio.sleep(8)
         return world
 
-    story.live = LiveWorld(build)
+    state.live_world = LiveWorld(build)
 
 
-@when("a planner dies after one rank got its confirmation")
-def planner_dies(story: Story) -> None:
-    world = story.world
+@when("a planner dies after one rank received its confirmation")
+def planner_dies(state: ScenarioState) -> None:
+    world = state.world
     world.network.late_seconds = 10_000
     for name in RANKS[1:]:
         world.network.delayed_calls[
             f"{CONFIRM_PATH}@{world.instances[name].address}"
         ] = 9
 
-    async def place() -> None:
+    async def activate_map() -> None:
         entry = world.entry("entry-0")
         coordinator = Coordinator(
             world.network.channel("planner", "planner"), entry.directory, entry.events
@@ -111,158 +110,162 @@
         with anyio.move_on_after(CONFIRM_SECONDS):
             await coordinator.activate(group, even_map(NEW_MAP, 1, 8, len(RANKS)), 1)
 
-    story.live.run(place())
+    state.live_world.run(activate_map())
 
 
-@when("that rank is cut off before the others ask")
-def rank_cut_off(story: Story) -> None:
-    address = story.world.instances[RANKS[0]].address
-    story.live.call(story.world.network.freeze, address, True)
-    story.live.advance(5.0)
+@when("that rank is frozen before the others query it")
+def rank_frozen(state: ScenarioState) -> None:
+    address = state.world.instances[RANKS[0]].address
+    state.live_world.call(state.world.network.freeze, address, True)
+    state.live_world.advance(5.0)
 
 
 @then("the group waits")
-def group_waits(story: Story) -> None:
-    before = story.group.step
-    story.live.advance(5.0)
-    assert story.group.step == before
+def group_waits(state: ScenarioState) -> None:
+    before = state.group.step
+    state.live_world.advance(5.0)
+    assert state.group.step == before
 
 
-@when("everything is mended")
-def everything_mended(story: Story) -> None:
-    world = story.world
+@when("all faults are removed")
+def remove_all_faults(state: ScenarioState) -> None:
+    world = state.world
     for row in world.instances.values():
-        story.live.call(world.network.freeze, row.address, False)
-    story.live.call(world.network.heal)
+        state.live_world.call(world.network.freeze, row.address, False)
+    state.live_world.call(world.network.heal)
 
 
 @then("the group steps on the new map")
-def group_steps(story: Story) -> None:
-    before = story.group.step
-    story.live.advance(5.0)
-    assert story.group.step > before
-    assert {engine.version for engine in story.group.engines} == {NEW_MAP}
+def group_steps(state: ScenarioState) -> None:
+    before = state.group.step
+    state.live_world.advance(5.0)
+    assert state.group.step > before
+    assert {engine.version for engine in state.group.engines} == {NEW_MAP}
 
 
 @then("no step had more than one map")
-def no_mismatch(story: Story) -> None:
-    assert story.group.mismatches == []
+def no_mismatch(state: ScenarioState) -> None:
+    assert state.group.mismatches == []
 
 
-@when("two callers book at once under the same key of two accounts")
-def same_key_two_accounts(story: Story) -> None:
+@when("two callers of different accounts book at once with the same key")
+def same_key_two_accounts(state: ScenarioState) -> None:
     async def both() -> None:
         async with anyio.create_task_group() as tasks:
             for account in (0, 1):
                 tasks.start_soon(
-                    story.book, f"caller-{account}", ENTRY, account, "same"
+                    state.book, f"caller-{account}", ENTRY, account, "same"
                 )
 
-    story.live.run(both())
+    state.live_world.run(both())
 
 
-@then("each gets the answer to its own booking")
-def own_answers(story: Story) -> None:
-    assert len(story.answers) == 2
-    for name, answer in story.answers.items():
-        assert msgspec.json.decode(answer.body)["body"] == name
+@then("each gets the response to its own booking")
+def own_answers(state: ScenarioState) -> None:
+    assert len(state.responses) == 2
+    for name, response in state.responses.items():
+        assert msgspec.json.decode(response.body)["body"] == name
 
 
 @given("the targets of one data centre are full")
-def targets_full(story: Story) -> None:
-    for name, service in story.world.services.items():
+def targets_full(state: ScenarioState) -> None:
+    for name, service in state.world.services.items():
         if name.startswith("diary-palermo"):
             service.delay = 0.5
 
 
-@when("many callers book there without patience")
-def many_book(story: Story) -> None:
+@when("many callers book there with a short timeout")
+def book_with_short_timeout(state: ScenarioState) -> None:
     async def book_many() -> None:
         async with anyio.create_task_group() as tasks:
             for number in range(100):
                 key = f"k{number}" if number % 2 else None
-                tasks.start_soon(story.book, f"b{number}", ENTRY, 0, key, "diary", 1.2)
+                tasks.start_soon(state.book, f"b{number}", ENTRY, 0, key, "diary", 1.2)
 
-    story.live.run(book_many())
-    story.live.advance(30.0)
+    state.live_world.run(book_many())
+    state.live_world.advance(30.0)
 
 
-@then("every booking told not-run has not run")
-def not_run_is_true(story: Story) -> None:
-    for name, answer in story.answers.items():
-        if answer.outcome == "not-run":
-            assert story.world.run_count(name) == 0
+@then("every booking reported as not-run has not run")
+def reported_not_run_did_not_run(state: ScenarioState) -> None:
+    for name, response in state.responses.items():
+        if response.outcome == "not-run":
+            assert state.world.run_count(name) == 0
 
 
-@then("some were told not-run, with a time to come back")
-def some_not_run(story: Story) -> None:
-    told = [a for a in story.answers.values() if a.outcome == "not-run"]
-    assert told
-    assert all(int(answer.headers["retry-after"]) >= 1 for answer in told)
+@then("some were reported as not-run, with a Retry-After")
+def some_reported_not_run(state: ScenarioState) -> None:
+    not_run = [
+        response
+        for response in state.responses.values()
+        if response.outcome == "not-run"
+    ]
+    assert not_run
+    assert all(int(response.headers["retry-after"]) >= 1 for response in not_run)
 
 
 @when("a booking is made and its holder is killed and replaced")
-def holder_replaced(story: Story) -> None:
-    story.live.run(story.book("booking", key="k"))
-    holder = next(n for n, s in story.world.services.items() if s.runs["booking"])
-    story.live.call(story.world.kill, holder)
-    story.live.call(story.world.start, holder)
-    story.live.advance(4.0)
+def holder_replaced(state: ScenarioState) -> None:
+    state.live_world.run(state.book("booking", key="k"))
+    holder = next(n for n, s in state.world.services.items() if s.runs["booking"])
+    state.live_world.call(state.world.kill, holder)
+    state.live_world.call(state.world.start, holder)
+    state.live_world.advance(4.0)
 
 
-@when("the same booking is asked again through the other data centre")
-def asked_again(story: Story) -> None:
-    story.live.run(story.book("booking", OTHER_ENTRY, key="k"))
+@when("the same booking is retried through the other data centre")
+def booking_retried(state: ScenarioState) -> None:
+    state.live_world.run(state.book("booking", OTHER_ENTRY, key="k"))
 
 
-@then("the caller is told that the outcome is unknown")
-def told_unknown(story: Story) -> None:
-    assert story.answers["booking"].outcome == "unknown"
+@then("the response says that the outcome is unknown")
+def outcome_unknown(state: ScenarioState) -> None:
+    assert state.responses["booking"].outcome == "unknown"
 
 
 @then("the booking ran once")
-def ran_once(story: Story) -> None:
-    assert story.world.run_count("booking") == 1
+def ran_once(state: ScenarioState) -> None:
+    assert state.world.run_count("booking") == 1
 
 
 @when("the platform's list says that a target leaves")
-def list_says_leaving(story: Story) -> None:
-    story.live.call(story.world.mark_leaving, "cards-palermo-0")
+def list_says_leaving(state: ScenarioState) -> None:
+    state.live_world.call(state.world.mark_leaving, "cards-palermo-0")
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
-def seconds_pass(story: Story, seconds: int) -> None:
-    story.live.advance(float(seconds))
+def seconds_pass(state: ScenarioState, seconds: int) -> None:
+    state.live_world.advance(float(seconds))
 
 
-@when("many callers ask for cards")
-def many_cards(story: Story) -> None:
-    story.before = story.world.services["cards-palermo-0"].runs.total()
+@when("many callers request cards")
+def request_cards(state: ScenarioState) -> None:
+    state.runs_before = state.world.services["cards-palermo-0"].runs.total()
 
-    async def ask_many() -> None:
+    async def send_many() -> None:
         async with anyio.create_task_group() as tasks:
             for number in range(40):
-                tasks.start_soon(story.book, f"c{number}", ENTRY, 0, None, "cards")
+                tasks.start_soon(state.book, f"c{number}", ENTRY, 0, None, "cards")
 
-    story.live.run(ask_many())
+    state.live_world.run(send_many())
 
 
 @then("the leaving target ran none of them")
-def leaving_ran_none(story: Story) -> None:
-    assert len(story.answers) == 40
-    assert story.world.services["cards-palermo-0"].runs.total() == story.before
+def leaving_ran_none(state: ScenarioState) -> None:
+    assert len(state.responses) == 40
+    assert state.world.services["cards-palermo-0"].runs.total() == state.runs_before
 
 
-@when("a stream of bookings runs while every instance is replaced in turn")
-def rolling_replacement(story: Story) -> None:
-    world = story.world
+@when("bookings arrive while every instance is replaced in turn")
+def rolling_replacement(state: ScenarioState) -> None:
+    world = state.world
 
     async def load() -> None:
         async with anyio.create_task_group() as tasks:
             for number in range(600):
                 key = f"k{number}" if number % 2 else None
                 entry = ENTRY if ENTRY in ready_entries(world) else OTHER_ENTRY
-                tasks.start_soon(story.book, f"r{number}", entry, 0, key, "diary", 10.0)
+                tasks.start_soon(state.book, f"r{number}", entry, 0, key, "diary", 10.0)
                 await anyio.sleep(0.05)
 
     async def replace_all() -> None:
@@ -276,11 +279,11 @@
             tasks.start_soon(load)
             tasks.start_soon(replace_all)
 
-    story.live.run(both())
+    state.live_world.run(both())
 
 
 def ready_entries(world: World) -> list[str]:
-    """Return the entries that the platform's balancer would call."""
+    """Return the entries that the platform's load balancer considers ready."""
     return [
         name
         for name in (ENTRY, OTHER_ENTRY)
@@ -288,45 +291,49 @@
     ]
 
 
-@then("every booking is answered")
-def all_answered(story: Story) -> None:
-    assert len(story.answers) == 600
-    failed = {n: a.body for n, a in story.answers.items() if a.status != 200}
+@then("every booking succeeds")
+def all_answered(state: ScenarioState) -> None:
+    assert len(state.responses) == 600
+    failed = {
+        name: response.body
+        for name, response in state.responses.items()
+        if response.status != 200
+    }
     assert failed == {}
 
 
-@when("one data centre is cut off and two operators race")
-def operators_race(story: Story) -> None:
-    world = story.world
+@when("one data centre is isolated and two operators apply texts at once")
+def concurrent_operators(state: ScenarioState) -> None:
+    world = state.world
     for other in ("palermo", "platform"):
         world.network.partition("catania", other)
 
     async def apply(queue: int) -> None:
-        text = build_text(SITES, diary_options=f"queue = {queue}\n")
-        story.applied.append(await world.apply(text, base=1))
+        text = build_text(DATA_CENTRES, diary_options=f"queue = {queue}\n")
+        state.apply_results.append(await world.apply(text, base=1))
 
     async def watch() -> None:
         for _ in range(200):
             for name, number in world.text_versions().items():
-                story.seen.setdefault(name, []).append(number)
+                state.observed_versions.setdefault(name, []).append(number)
             await anyio.sleep(0.1)
 
-    async def race() -> None:
+    async def apply_both() -> None:
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watch)
             tasks.start_soon(apply, 21)
             tasks.start_soon(apply, 22)
 
-    story.live.run(race())
+    state.live_world.run(apply_both())
 
 
-@then("the winner's text is in force everywhere")
-def winner_in_force(story: Story) -> None:
-    assert sum(isinstance(result, Accepted) for result in story.applied) == 1
-    assert set(story.world.text_versions().values()) == {2}
+@then("the accepted text is in force everywhere")
+def accepted_text_in_force(state: ScenarioState) -> None:
+    assert sum(isinstance(result, Accepted) for result in state.apply_results) == 1
+    assert set(state.world.text_versions().values()) == {2}
 
 
-@then("no process was ever seen to go back")
-def never_back(story: Story) -> None:
-    for numbers in story.seen.values():
+@then("no process ever reverted to an older text")
+def never_reverted(state: ScenarioState) -> None:
+    for numbers in state.observed_versions.values():
         assert numbers == sorted(numbers)
--- a/tests/world/test_serving.py
+++ b/tests/world/test_serving.py
@@ -1,4 +1,4 @@
-"""A request is served from one end to the other."""
+"""Requests are served end to end."""
 
 import anyio
 import msgspec
@@ -7,20 +7,20 @@
 from briarthread_standins.world import CallerResponse, World
 
 
-def problem(answer: CallerResponse) -> dict[str, object]:
-    return msgspec.json.decode(answer.body)
+def decode_problem(response: CallerResponse) -> dict[str, object]:
+    return msgspec.json.decode(response.body)
 
 
-def test_booking_is_answered_once_through_any_entry() -> None:
+def test_booking_runs_once_through_any_entry() -> None:
     async def scenario(world: World) -> None:
         first = await world.call(
             "entry-palermo-0", "diary/b", "salon-0", "key-1", b"one"
         )
-        again = await world.call(
+        repeated = await world.call(
             "entry-catania-0", "diary/b", "salon-0", "key-1", b"one"
         )
         assert first.status == 200
-        assert again.body == first.body
+        assert repeated.body == first.body
         assert world.run_count("one") == 1
 
     run_in_world(scenario)
@@ -29,10 +29,10 @@
 def test_same_key_of_another_account_is_another_request() -> None:
     async def scenario(world: World) -> None:
         for account in ("salon-0", "salon-1"):
-            answer = await world.call(
+            response = await world.call(
                 "entry-palermo-0", "diary/b", account, "key-1", account.encode()
             )
-            assert msgspec.json.decode(answer.body)["body"] == account
+            assert msgspec.json.decode(response.body)["body"] == account
 
     run_in_world(scenario)
 
@@ -40,17 +40,17 @@
 def test_key_reused_for_another_body_is_refused() -> None:
     async def scenario(world: World) -> None:
         await world.call("entry-palermo-0", "diary/b", "salon-0", "key-1", b"one")
-        other = await world.call(
+        reused = await world.call(
             "entry-palermo-0", "diary/b", "salon-0", "key-1", b"two"
         )
-        assert other.status == 422
-        assert problem(other)["outcome"] == "not-run"
+        assert reused.status == 422
+        assert decode_problem(reused)["outcome"] == "not-run"
         assert world.run_count("two") == 0
 
     run_in_world(scenario)
 
 
-def test_wrong_key_learns_nothing_of_services() -> None:
+def test_wrong_key_does_not_reveal_services() -> None:
     async def scenario(world: World) -> None:
         known = await world.call("entry-palermo-0", "diary/b", "wrong")
         unknown = await world.call("entry-palermo-0", "nothing/b", "wrong")
@@ -72,10 +72,10 @@
 
 def test_oversized_body_is_refused() -> None:
     async def scenario(world: World) -> None:
-        answer = await world.call(
+        response = await world.call(
             "entry-palermo-0", "diary/b", "salon-0", body=b"x" * (1 << 21)
         )
-        assert answer.status == 413
+        assert response.status == 413
 
     run_in_world(scenario)
 
@@ -85,7 +85,7 @@
         for number in range(2):
             world.kill(f"cards-palermo-{number}")
         await anyio.sleep(3)
-        answer = await world.call("entry-palermo-0", "cards/c", "salon-0", body=b"c")
-        assert answer.status == 200
+        response = await world.call("entry-palermo-0", "cards/c", "salon-0", body=b"c")
+        assert response.status == 200
 
     run_in_world(scenario)
--- a/tests/world/test_text_in_force.py
+++ b/tests/world/test_text_in_force.py
@@ -1,4 +1,4 @@
-"""An accepted text is in force everywhere in seconds and never reverts."""
+"""An accepted text is in force everywhere within seconds and never reverts."""
 
 import anyio
 import pytest
@@ -9,20 +9,20 @@
 from briarthread_standins.platform_app import PlatformMode
 from briarthread_standins.world import World
 
-SECONDS = 5.0
+PROPAGATION_SECONDS = 5.0
 CHANGED = build_text(diary_options="queue = 9\n")
 
 
-def test_accepted_text_is_in_force_everywhere_in_seconds() -> None:
+def test_accepted_text_is_in_force_everywhere_within_seconds() -> None:
     async def scenario(world: World) -> None:
         assert await world.apply(CHANGED, base=1) == Accepted(2)
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         assert set(world.text_versions().values()) == {2}
 
     run_in_world(scenario)
 
 
-def test_loser_of_a_race_is_told_and_nothing_of_its_text_is_in_force() -> None:
+def test_rejected_concurrent_text_is_reported_and_not_in_force() -> None:
     async def scenario(world: World) -> None:
         results = []
 
@@ -33,18 +33,18 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(apply, 11)
             tasks.start_soon(apply, 12)
-        kinds = sorted(type(result).__name__ for result in results)
-        assert kinds == ["Accepted", "Lost"]
+        outcomes = sorted(type(result).__name__ for result in results)
+        assert outcomes == ["Accepted", "Lost"]
         lost = next(result for result in results if isinstance(result, Lost))
         assert lost.number == 2
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         queue = world.entry("entry-palermo-0").text.current().services["diary"].queue
         assert f"queue = {queue}\n" in lost.sections["service diary"]
 
     run_in_world(scenario)
 
 
-def test_answer_lost_after_the_write_is_settled_by_reading_back() -> None:
+def test_lost_response_to_a_write_is_resolved_by_reading_back() -> None:
     async def scenario(world: World) -> None:
         world.network.lost_responses["/v1/table/transactions"] = 1
         assert await world.apply(CHANGED, base=1) == Accepted(2)
@@ -57,13 +57,13 @@
         world.platform.state.mode = PlatformMode.DOWN
         with pytest.raises(PlatformError):
             await world.apply(CHANGED, base=1)
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         assert set(world.text_versions().values()) == {1}
 
     run_in_world(scenario)
 
 
-def test_data_centre_cut_off_catches_up_when_healed() -> None:
+def test_isolated_data_centre_catches_up_after_the_partition() -> None:
     async def scenario(world: World) -> None:
         for other in ("palermo", "messina", "platform"):
             world.network.partition("catania", other)
@@ -71,13 +71,13 @@
         await anyio.sleep(30)
         assert world.text_versions()["entry-catania-0"] == 1
         world.network.heal()
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         assert set(world.text_versions().values()) == {2}
 
     run_in_world(scenario)
 
 
-def test_data_centre_without_platform_hears_of_a_text_from_another() -> None:
+def test_data_centre_without_platform_receives_text_from_another() -> None:
     async def scenario(world: World) -> None:
         world.network.partition("catania", "platform")
         await world.apply(CHANGED, base=1)
@@ -87,25 +87,25 @@
     run_in_world(scenario)
 
 
-def test_entries_replaced_in_an_outage_take_the_text_from_agents() -> None:
+def test_entries_replaced_during_an_outage_get_the_text_from_agents() -> None:
     async def scenario(world: World) -> None:
         await world.apply(CHANGED, base=1)
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         world.platform.state.mode = PlatformMode.DOWN
         for other in ("palermo", "catania"):
             world.network.partition("messina", other)
         world.kill("entry-messina-0")
         world.start("entry-messina-0")
-        await anyio.sleep(SECONDS)
+        await anyio.sleep(PROPAGATION_SECONDS)
         assert world.text_versions()["entry-messina-0"] == 2
 
     run_in_world(scenario)
 
 
-def test_change_that_would_move_remembered_keys_is_refused() -> None:
+def test_change_that_would_move_recorded_keys_is_refused() -> None:
     async def scenario(world: World) -> None:
-        moved = build_text().replace("home = palermo", "home = messina")
+        changed_home = build_text().replace("home = palermo", "home = messina")
         with pytest.raises(ChecksFailed, match=r"text\.E015"):
-            await world.apply(moved, base=1)
+            await world.apply(changed_home, base=1)
 
     run_in_world(scenario)
