--- a/packages/standins/src/briarthread_standins/deployment.py
+++ b/packages/standins/src/briarthread_standins/deployment.py
@@ -143,7 +143,7 @@
         wait_until(all_shares_known, "shares")
 
     def stop(self) -> None:
-        """Stop all processes gracefully, entries first."""
+        """Stop all processes gracefully, entries and agents before the stand-ins."""
         names = sorted(self.processes, key=lambda name: name.startswith("target-"))
         for name in names:
             if name != "platform" and not name.startswith("target-"):
--- a/packages/standins/src/briarthread_standins/direct_group.py
+++ b/packages/standins/src/briarthread_standins/direct_group.py
@@ -170,13 +170,13 @@
 
     async def _order(self, rank: DirectRank, call: Call) -> None:
         order = await call.read_json(dict, MAX_BODY_BYTES)
-        if self._drop_response(order["op"]):
+        if self._should_drop_response(order["op"]):
             await anyio.sleep(self.late_seconds)
             await self._execute(rank, order)
             return
         await call.reply(await self._execute(rank, order), b"")
 
-    def _drop_response(self, kind: str) -> bool:
+    def _should_drop_response(self, kind: str) -> bool:
         if self.rng.random() < self.unanswered_share:
             return True
         if self.unanswered_orders:
--- a/packages/standins/src/briarthread_standins/direct_world.py
+++ b/packages/standins/src/briarthread_standins/direct_world.py
@@ -1,4 +1,4 @@
-"""A simulated deployment of direct entries on the platform's protocol."""
+"""A simulated deployment of entries with direct targets on a fake platform."""
 
 import random
 from dataclasses import dataclass, field
--- a/packages/standins/src/briarthread_standins/fake_platform_store.py
+++ b/packages/standins/src/briarthread_standins/fake_platform_store.py
@@ -34,8 +34,8 @@
     ``unresponsive`` store sends none. Callers at the addresses in ``refused_callers``
     are refused while others are served. ``unanswered_writes`` counts the next writes
     that are committed without a response, ``delayed_writes`` those that are committed
-    only after ``write_delay_seconds``. ``page_size`` is the largest number of rows of
-    a response.
+    only after ``write_delay_seconds``, also without a response. ``page_size`` is the
+    largest number of rows of a response.
     """
 
     def __init__(self) -> None:
--- a/packages/standins/src/briarthread_standins/load_simulation.py
+++ b/packages/standins/src/briarthread_standins/load_simulation.py
@@ -156,7 +156,11 @@
 
 
 async def _send_request(
-    world: DirectWorld, entry: str, started: float, now: float, results: CallerResults
+    world: DirectWorld,
+    entry: str,
+    started: float,
+    sent_at: float,
+    results: CallerResults,
 ) -> float | None:
     """Return the Retry-After seconds of a refusal, ``None`` otherwise."""
     world.request_count += 1
@@ -164,7 +168,7 @@
         ("host", "salon.example"),
         ("x-request-id", f"request-{world.request_count}"),
         ("x-credential", "key-1"),
-        ("x-deadline-ms", str(int((started + DEADLINE - now) * 1000))),
+        ("x-deadline-ms", str(int((started + DEADLINE - sent_at) * 1000))),
         ("x-token-count", "800,100"),
     )
     callers_address = world.entries[entry].settings.callers_listen
@@ -175,7 +179,7 @@
         with anyio.move_on_after(IDLE_TIMEOUT) as timeout:
             async with channel.stream(request) as response:
                 if response.status != 200:
-                    duration = anyio.current_time() - now
+                    duration = anyio.current_time() - sent_at
                     results.slowest_refusal = max(results.slowest_refusal, duration)
                     return float(response.headers["retry-after"])
                 async for _ in response.body:
