--- a/tests/scenarios/test_promises.py
+++ b/tests/scenarios/test_promises.py
@@ -161,7 +161,7 @@
 
 
 @then("each gets the response to its own booking")
-def own_answers(state: ScenarioState) -> None:
+def own_responses(state: ScenarioState) -> None:
     assert len(state.responses) == 2
     for name, response in state.responses.items():
         assert msgspec.json.decode(response.body)["body"] == name
@@ -229,7 +229,7 @@
 
 
 @when("the platform's list says that a target leaves")
-def list_says_leaving(state: ScenarioState) -> None:
+def target_marked_as_leaving(state: ScenarioState) -> None:
     state.live_world.call(state.world.mark_leaving, "cards-palermo-0")
 
 
@@ -292,7 +292,7 @@
 
 
 @then("every booking succeeds")
-def all_answered(state: ScenarioState) -> None:
+def all_bookings_succeed(state: ScenarioState) -> None:
     assert len(state.responses) == 600
     failed = {
         name: response.body
