--- a/packages/standins/src/briarthread_standins/direct_world.py
+++ b/packages/standins/src/briarthread_standins/direct_world.py
@@ -1,4 +1,4 @@
-"""Entries before direct targets on the users' platform, in one process."""
+"""A simulated deployment of entries with direct targets on a fake platform."""
 
 import random
 from dataclasses import dataclass, field
@@ -16,51 +16,55 @@
 from briarthread_platform.adapter import ADAPTER
 from briarthread_standins.direct_worker import DirectWorker
 from briarthread_standins.fake_network import FakeNetwork
-from briarthread_standins.users_store import UsersStore
+from briarthread_standins.fake_platform_store import FakePlatformStore
 
-STORE = "10.200.0.1:80"
+STORE_ADDRESS = "10.200.0.1:80"
 DATA_CENTRES = ("palermo", "catania")
 START_SECONDS = 2.0
-CLIENT = "10.250.0.1:1"
+CLIENT_ADDRESS = "10.250.0.1:1"
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """What a caller got; ``whole`` is off where the answer broke off."""
+class DirectResponse:
+    """
+    A response as a caller received it.
+
+    ``complete`` is false if the connection broke before the end of the body.
+    """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
     @property
     def event_ids(self) -> list[int]:
-        """Return the ids of the events of a stream."""
+        """Return the ids of the events in a streamed body."""
         lines = self.body.decode().split("\n")
         return [int(line[3:]) for line in lines if line.startswith("id:")]
 
 
 @dataclass
 class DirectWorld:
-    """Hold a store, workers and entries on one fake network."""
+    """Run a platform store, workers and entries on one fake network."""
 
     tasks: TaskGroup
     seed: int = 1
     entries: dict[str, DirectEntry] = field(default_factory=dict)
     workers: dict[str, DirectWorker] = field(default_factory=dict)
     addresses: dict[str, str] = field(default_factory=dict)
-    requests: int = 0
+    request_count: int = 0
     scopes: dict[str, anyio.CancelScope] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.network = FakeNetwork(self.tasks)
-        self.store = UsersStore()
-        self.network.listen(STORE, "store", self.store.app)
+        self.store = FakePlatformStore()
+        self.network.listen(STORE_ADDRESS, "store", self.store.app)
 
     def add_worker(
         self, name: str, service: str, data_centre: str = "palermo", listed: bool = True
     ) -> DirectWorker:
-        """Start a worker at an address of its own and list it."""
+        """Start a worker at a new address and register it if ``listed`` is set."""
         worker = DirectWorker(name)
         number = len(self.workers) + 1
         address = f"10.9.0.{number}:80"
@@ -68,17 +72,17 @@
         self.addresses[name] = address
         self.network.listen(address, data_centre, worker.app)
         if listed:
-            self.list_worker(name, service, data_centre)
+            self.register_worker(name, service, data_centre)
         return worker
 
-    def list_worker(
+    def register_worker(
         self,
         name: str,
         service: str,
         data_centre: str = "palermo",
         state: str = "ready",
     ) -> None:
-        """Write a worker's row."""
+        """Write a worker's row into the ``servers`` table of the store."""
         row = {
             "service": service,
             "address": self.addresses[name],
@@ -89,26 +93,26 @@
         self.store.put("servers", name, row)
 
     def add_entry(self, name: str, data_centre: str = "palermo") -> DirectEntry:
-        """Start an entry, anew at its addresses if it ran before."""
+        """Start an entry; one of the same name restarts at its former addresses."""
         names = [*self.entries, name]
         number = names.index(name) + 1
-        peer, front = f"10.1.0.{number}:9", f"10.1.0.{number}:8"
+        peer_address, callers_address = f"10.1.0.{number}:9", f"10.1.0.{number}:8"
         settings = DirectSettings(
             name=name,
             data_centre=data_centre,
-            listen=peer,
-            callers_listen=front,
+            listen=peer_address,
+            callers_listen=callers_address,
             ready_listen=f"10.1.0.{number}:7",
             drain_notice=1.0,
             drain_timeout=3.0,
             adapter="briarthread_platform.adapter",
-            store=STORE,
+            store=STORE_ADDRESS,
             allowance=RetryAllowance(0.2, 20.0, 10.0),
             spread=ReplicationOptions(name, data_centre, ("10.1.0.1:9",), 4.0, 2.0),
             log_level="INFO",
             log_json=False,
         )
-        channel = self.network.channel(peer, data_centre)
+        channel = self.network.channel(peer_address, data_centre)
         entry = DirectEntry(
             settings,
             ADAPTER,
@@ -118,14 +122,14 @@
             Clock(),
             random.Random(self.seed + number),
         )
-        self.network.listen(peer, data_centre, entry.peer_app)
-        self.network.listen(front, data_centre, entry.app)
+        self.network.listen(peer_address, data_centre, entry.peer_app)
+        self.network.listen(callers_address, data_centre, entry.app)
         self.entries[name] = entry
         self.tasks.start_soon(self._run_entry, name, entry)
         return entry
 
     def kill_entry(self, name: str) -> None:
-        """Kill an entry; what it was doing is cut off."""
+        """Kill an entry without draining it; its requests are cut off."""
         settings = self.entries[name].settings
         for address in (settings.listen, settings.callers_listen):
             self.network.close(address)
@@ -137,7 +141,7 @@
             async with anyio.create_task_group() as tasks:
                 entry.start(tasks)
 
-    async def ask(
+    async def call(
         self,
         entry: str,
         path: str,
@@ -145,35 +149,44 @@
         method: str = "POST",
         body: bytes | None = b"x",
         host: str = "salon.example",
-        give_up: float = 20.0,
-    ) -> Reply:
-        """Send a request as a caller and return what came back."""
-        self.requests += 1
+        client_timeout: float = 20.0,
+    ) -> DirectResponse:
+        """
+        Send a request as a caller and return the response.
+
+        A caller that disconnects after ``client_timeout`` seconds gets status 0.
+        """
+        self.request_count += 1
         fields = {
             "host": host,
-            "x-request-id": f"request-{self.requests}",
+            "x-request-id": f"request-{self.request_count}",
             "x-credential": "key-1",
             "x-deadline-ms": "8000",
             **(headers or {}),
         }
         if body is not None:
             fields["content-length"] = str(len(body))
-        front = self.entries[entry].settings.callers_listen
-        channel = self.network.channel(CLIENT, "clients")
-        call = ChannelRequest(method, front, path, tuple(fields.items()), body)
-        with anyio.move_on_after(give_up):
-            return await _read(channel, call)
-        return Reply(0, {}, b"", whole=False)
+        callers_address = self.entries[entry].settings.callers_listen
+        channel = self.network.channel(CLIENT_ADDRESS, "clients")
+        request = ChannelRequest(
+            method, callers_address, path, tuple(fields.items()), body
+        )
+        with anyio.move_on_after(client_timeout):
+            return await _read_response(channel, request)
+        return DirectResponse(0, {}, b"", complete=False)
 
 
-async def _read(channel: Channel, call: ChannelRequest) -> Reply:
-    parts: list[bytes] = []
-    async with channel.stream(call) as response:
+async def _read_response(channel: Channel, request: ChannelRequest) -> DirectResponse:
+    chunks: list[bytes] = []
+    async with channel.stream(request) as response:
         try:
             async for chunk in response.body:
-                parts.append(chunk)
+                chunks.append(chunk)
         except ChannelError:
-            return Reply(
-                response.status, dict(response.headers), b"".join(parts), whole=False
+            return DirectResponse(
+                response.status,
+                dict(response.headers),
+                b"".join(chunks),
+                complete=False,
             )
-        return Reply(response.status, dict(response.headers), b"".join(parts))
+        return DirectResponse(response.status, dict(response.headers), b"".join(chunks))
--- a/packages/standins/src/briarthread_standins/fake_network.py
+++ b/packages/standins/src/briarthread_standins/fake_network.py
@@ -1,4 +1,4 @@
-"""A network inside one process, with faults."""
+"""An in-process network with fault injection."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -17,27 +17,27 @@
 )
 from briarthread_common.http.app import ResponseAborted
 from briarthread_common.http.channel import ChannelRequest, ChannelResponse
-from briarthread_standins.fake_exchange import Exchange
+from briarthread_standins.fake_call import FakeCall
 
-CONNECT_TIMEOUT = 1.0
-LATENCY = 0.001
+CONNECT_TIMEOUT_SECONDS = 1.0
+LATENCY_SECONDS = 0.001
 HEAD_BYTES = 250
-"""Bytes of a message besides its body, about what our own calls have."""
+"""Approximate size of the head of a message between briarthread processes."""
 
 
 @dataclass(eq=False, slots=True)
 class Node:
     """
-    Hold what listens at an address and the calls it is serving.
+    An application that listens at an address, and the calls in progress there.
 
-    With ``takes_late`` off, a late copy of a call dies with the process that
-    it was sent to, as it does with a TCP connection.
+    With ``accepts_late_calls`` off, a delayed copy of a call is lost if the process
+    that it was sent to has gone, as with a TCP connection.
     """
 
     address: str
     site: str
     app: Any
-    takes_late: bool = True
+    accepts_late_calls: bool = True
     frozen: bool = False
     calls: set[anyio.CancelScope] = field(default_factory=set)
 
@@ -46,127 +46,126 @@
     """
     Carry calls between applications in one process.
 
-    ``cuts`` holds the pairs of sites that cannot reach each other.
-    ``lose_answers`` counts, for a path, the calls whose answer is still to
-    be lost after the call took effect; ``duplicate`` likewise counts calls
-    that arrive twice, the second time ``late`` seconds after the first, and
-    ``delay`` those that break for the caller and arrive only then. A count
-    can be kept for a path at one address, as ``path@address``. ``link_rate`` is
-    how many bytes a second each address can send, 0 for any number; what it sends
-    goes out one after the other.
+    ``partitions`` holds the pairs of sites that cannot reach each other. Faults are
+    counted by path, or by ``path@address`` for one address: ``lost_responses`` counts
+    calls whose response is lost after the call took effect, ``duplicated_calls`` those
+    that arrive a second time ``late_seconds`` after the first, and ``delayed_calls``
+    those that fail for the caller and arrive only that much later. ``link_rate`` is
+    the bandwidth of each address for sending, in bytes per second, 0 for no limit;
+    messages of an address are sent one after the other.
     """
 
     def __init__(self, tasks: TaskGroup) -> None:
         self.tasks = tasks
         self.nodes: dict[str, Node] = {}
-        self.cuts: set[frozenset[str]] = set()
-        self.lose_answers: dict[str, int] = {}
-        self.duplicate: dict[str, int] = {}
-        self.delay: dict[str, int] = {}
-        self.late = 0.0
+        self.partitions: set[frozenset[str]] = set()
+        self.lost_responses: dict[str, int] = {}
+        self.duplicated_calls: dict[str, int] = {}
+        self.delayed_calls: dict[str, int] = {}
+        self.late_seconds = 0.0
         self.link_rate = 0.0
-        self.link_free: dict[str, float] = {}
+        self.link_free_at: dict[str, float] = {}
         self.sent_bytes: Counter[str] = Counter()
         self.changed = anyio.Event()
-        self.messages = 0
+        self.call_count = 0
 
     def listen(
-        self, address: str, site: str, app: Any, takes_late: bool = True
+        self, address: str, site: str, app: Any, accepts_late_calls: bool = True
     ) -> None:
-        """Let an application answer at an address."""
-        self.nodes[address] = Node(address, site, app, takes_late)
+        """Serve an application at an address."""
+        self.nodes[address] = Node(address, site, app, accepts_late_calls)
 
     def close(self, address: str) -> None:
-        """Kill what answers at an address, with the calls it serves."""
+        """Remove the application at an address and cancel its calls."""
         node = self.nodes.pop(address, None)
         if node is not None:
             for scope in list(node.calls):
                 scope.cancel()
 
     def freeze(self, address: str, frozen: bool) -> None:
-        """Hold back, or let go, all that goes to or from an address."""
+        """Suspend or resume all traffic to and from an address."""
         node = self.nodes.get(address)
         if node is not None:
             node.frozen = frozen
-        self._note_change()
+        self._notify_change()
 
-    def cut(self, one: str, other: str) -> None:
-        """Cut two sites off from each other."""
-        self.cuts.add(frozenset((one, other)))
+    def partition(self, first: str, second: str) -> None:
+        """Partition two sites from each other."""
+        self.partitions.add(frozenset((first, second)))
 
     def heal(self) -> None:
-        """Mend all cuts."""
-        self.cuts.clear()
-        self._note_change()
+        """Remove all partitions between sites."""
+        self.partitions.clear()
+        self._notify_change()
 
     def channel(self, address: str, site: str) -> "FakeChannel":
-        """Return the channel of a process at an address."""
+        """Return a channel for calls of a process at an address."""
         return FakeChannel(self, address, site)
 
-    def take_fault(self, faults: dict[str, int], request: ChannelRequest) -> bool:
-        """Tell whether a counted fault strikes a call, and count it off."""
+    def consume_fault(self, faults: dict[str, int], request: ChannelRequest) -> bool:
+        """Return whether a call is subject to a counted fault, and decrement it."""
         for key in (request.path, f"{request.path}@{request.address}"):
             if faults.get(key, 0):
                 faults[key] -= 1
                 return True
         return False
 
-    def is_open(self, address: str, site: str, node: Node) -> bool:
-        """Tell whether messages pass between a process and a node now."""
-        mine = self.nodes.get(address)
-        if node.frozen or (mine is not None and mine.frozen):
+    def is_reachable(self, address: str, site: str, node: Node) -> bool:
+        """Return whether messages pass between a process and a node now."""
+        own_node = self.nodes.get(address)
+        if node.frozen or (own_node is not None and own_node.frozen):
             return False
-        return frozenset((site, node.site)) not in self.cuts
+        return frozenset((site, node.site)) not in self.partitions
 
-    async def wait_open(self, address: str, site: str, node: Node) -> None:
-        """Return once messages pass between a process and a node."""
-        while not self.is_open(address, site, node):
+    async def wait_until_reachable(self, address: str, site: str, node: Node) -> None:
+        """Wait until messages pass between a process and a node."""
+        while not self.is_reachable(address, site, node):
             await self.changed.wait()
 
-    async def carry(self, sender: str, size: int) -> None:
-        """Return once a message has gone out over its sender's link."""
+    async def transmit(self, sender: str, size: int) -> None:
+        """Wait until a message has left over its sender's link."""
         size += HEAD_BYTES
         self.sent_bytes[sender] += size
         if not self.link_rate:
             return
         now = anyio.current_time()
-        free = max(self.link_free.get(sender, now), now) + size / self.link_rate
-        self.link_free[sender] = free
-        await anyio.sleep(free - now)
+        free_at = max(self.link_free_at.get(sender, now), now) + size / self.link_rate
+        self.link_free_at[sender] = free_at
+        await anyio.sleep(free_at - now)
 
-    def start_call(self, node: Node, exchange: Exchange) -> None:
-        """Let a node serve a call in a task of its own."""
-        self.messages += 1
-        self.tasks.start_soon(self._serve, node, exchange)
+    def start_call(self, node: Node, fake_call: FakeCall) -> None:
+        """Serve a call at a node in a separate task."""
+        self.call_count += 1
+        self.tasks.start_soon(self._serve, node, fake_call)
 
-    def start_late_call(self, node: Node, exchange: Exchange) -> None:
-        """Let a copy of a call arrive late, if somebody then takes it."""
-        self.tasks.start_soon(self._serve_late, node, exchange)
+    def start_late_call(self, node: Node, fake_call: FakeCall) -> None:
+        """Deliver a call after the delay, if a node then accepts it."""
+        self.tasks.start_soon(self._serve_late, node, fake_call)
 
-    async def _serve_late(self, sent_to: Node, exchange: Exchange) -> None:
-        await anyio.sleep(self.late)
+    async def _serve_late(self, sent_to: Node, fake_call: FakeCall) -> None:
+        await anyio.sleep(self.late_seconds)
         node = self.nodes.get(sent_to.address)
-        if node is sent_to or (node is not None and node.takes_late):
-            await self._serve(node, exchange)
+        if node is sent_to or (node is not None and node.accepts_late_calls):
+            await self._serve(node, fake_call)
 
-    async def _serve(self, node: Node, exchange: Exchange) -> None:
+    async def _serve(self, node: Node, fake_call: FakeCall) -> None:
         with anyio.CancelScope() as scope:
             node.calls.add(scope)
             try:
-                await node.app(exchange.scope, exchange.receive, exchange.send)
+                await node.app(fake_call.scope, fake_call.receive, fake_call.send)
             except ResponseAborted as error:
                 logger.debug("network: {}", error)
             finally:
                 node.calls.discard(scope)
-        exchange.sender.close()
+        fake_call.sender.close()
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         event, self.changed = self.changed, anyio.Event()
         event.set()
 
 
 class FakeChannel:
-    """Call nodes of the fake network from one address."""
+    """A channel that calls nodes of the fake network from one address."""
 
     def __init__(self, network: FakeNetwork, address: str, site: str) -> None:
         self.network = network
@@ -175,51 +174,53 @@
 
     @asynccontextmanager
     async def stream(self, request: ChannelRequest) -> AsyncIterator[ChannelResponse]:
-        """Send a call; see Channel."""
+        """Send a call and return the response; see Channel."""
         node = await self._connect(request)
-        exchange = Exchange(request, self.address)
-        await self.network.carry(self.address, len(request.body or b""))
-        if self.network.take_fault(self.network.delay, request):
-            self.network.start_late_call(node, exchange)
-            raise BrokenCallError(f"{request.path} was held up")
-        self.network.start_call(node, exchange)
-        if self.network.take_fault(self.network.duplicate, request):
-            self.network.start_late_call(node, Exchange(request))
+        fake_call = FakeCall(request, self.address)
+        await self.network.transmit(self.address, len(request.body or b""))
+        if self.network.consume_fault(self.network.delayed_calls, request):
+            self.network.start_late_call(node, fake_call)
+            raise BrokenCallError(f"fault injection: {request.path} delayed")
+        self.network.start_call(node, fake_call)
+        if self.network.consume_fault(self.network.duplicated_calls, request):
+            self.network.start_late_call(node, FakeCall(request))
         try:
-            head = await self._next(node, exchange)
-            if self.network.take_fault(self.network.lose_answers, request):
-                raise BrokenCallError(f"answer to {request.path} was lost")
+            head = await self._receive(node, fake_call)
+            if self.network.consume_fault(self.network.lost_responses, request):
+                raise BrokenCallError(
+                    f"fault injection: response to {request.path} lost"
+                )
             fields = tuple((k.decode(), v.decode()) for k, v in head["headers"])
-            body = self._body(node, exchange)
+            body = self._read_body(node, fake_call)
             yield ChannelResponse(head["status"], dict(fields), body, fields)
         finally:
-            exchange.end()
+            fake_call.disconnect()
 
     async def _connect(self, request: ChannelRequest) -> Node:
-        await anyio.sleep(LATENCY)
+        await anyio.sleep(LATENCY_SECONDS)
         node = self.network.nodes.get(request.address)
         if node is None:
-            raise ConnectionRefused(f"{request.address} refused")
-        if not self.network.is_open(self.address, self.site, node):
-            await anyio.sleep(CONNECT_TIMEOUT)
-            raise RequestNotSentError(f"{request.address} is out of reach")
+            raise ConnectionRefused(f"{request.address} refused the connection")
+        if not self.network.is_reachable(self.address, self.site, node):
+            await anyio.sleep(CONNECT_TIMEOUT_SECONDS)
+            raise RequestNotSentError(f"{request.address} is unreachable")
         return node
 
-    async def _body(self, node: Node, exchange: Exchange) -> AsyncIterator[bytes]:
+    async def _read_body(self, node: Node, fake_call: FakeCall) -> AsyncIterator[bytes]:
         while True:
-            message = await self._next(node, exchange)
+            message = await self._receive(node, fake_call)
             if message.get("body"):
                 yield message["body"]
             if not message.get("more_body", False):
                 return
 
-    async def _next(self, node: Node, exchange: Exchange) -> dict[str, Any]:
+    async def _receive(self, node: Node, fake_call: FakeCall) -> dict[str, Any]:
         try:
-            message = await exchange.receiver.receive()
+            message = await fake_call.receiver.receive()
         except anyio.EndOfStream as error:
-            raise BrokenCallError(f"{node.address} hung up") from error
+            raise BrokenCallError(f"{node.address} closed the connection") from error
         if message.get("body"):
-            await self.network.carry(node.address, len(message["body"]))
-        await anyio.sleep(LATENCY)
-        await self.network.wait_open(self.address, self.site, node)
+            await self.network.transmit(node.address, len(message["body"]))
+        await anyio.sleep(LATENCY_SECONDS)
+        await self.network.wait_until_reachable(self.address, self.site, node)
         return message
