--- a/packages/entry/src/briarthread_entry/commands/apply.py
+++ b/packages/entry/src/briarthread_entry/commands/apply.py
@@ -70,7 +70,9 @@
                 self._show_conflict(result, sections)
                 return ExitCode.CONFLICT
 
-    def _show_conflict(self, conflict: Superseded, own_sections: dict[str, str]) -> None:
+    def _show_conflict(
+        self, conflict: Superseded, own_sections: dict[str, str]
+    ) -> None:
         print(
             f"not accepted: version {conflict.number} by {conflict.by} was accepted "
             "meanwhile, so the file was not activated. Run show, edit its output and "
--- a/packages/standins/src/briarthread_standins/rank_group.py
+++ b/packages/standins/src/briarthread_standins/rank_group.py
@@ -44,7 +44,8 @@
     def __init__(self, fencing: bool, initial_map: ExpertMap | None = None) -> None:
         self.fencing = fencing
         self.maps = {
-            FIRST_MAP_VERSION: initial_map or round_robin_map(FIRST_MAP_VERSION, 1, 1, 1)
+            FIRST_MAP_VERSION: initial_map
+            or round_robin_map(FIRST_MAP_VERSION, 1, 1, 1)
         }
         self.counts: list[list[int]] = []
         self.fencing_token = (0, 0)
