--- a/packages/measure/src/briarthread_measure/ablation_run.py
+++ b/packages/measure/src/briarthread_measure/ablation_run.py
@@ -18,8 +18,8 @@
 from docopt import docopt
 from loguru import logger
 
-from briarthread_measure.left_out import VARIANTS
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure.admission_variants import VARIANTS
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 from briarthread_standins.load_day import LoadDay
 from briarthread_standins.play_load import play_load
 
@@ -36,19 +36,17 @@
 BY_NAME = {variant.name: variant for variant in VARIANTS}
 
 
-def worth_of(play: Play) -> float:
+def worth_of(run: SimulationRun) -> float:
     """Return what callers get in one play."""
     logger.remove()
-    variant = BY_NAME[play.way]
+    variant = BY_NAME[run.policy]
     with variant.applied():
-        return play_load(
-            replace(DAYS[play.load], seed=play.seed), variant.prepare
-        ).worth
+        return play_load(replace(DAYS[run.load], seed=run.seed), variant.prepare).worth
 
 
 def main() -> None:
     """Play everything and print a table."""
-    print_ways("variant", BY_NAME, DAYS, worth_of, docopt(__doc__))
+    print_comparison("variant", BY_NAME, DAYS, worth_of, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/left_out.py
+++ b/packages/measure/src/briarthread_measure/admission_variants.py
@@ -15,15 +15,15 @@
 
 FIXED_STREAMS = 36
 """Streams that the fixed limit allows, all entries together: every slot."""
-ALWAYS = float("inf")
+INFINITE_SECONDS = float("inf")
 
 
-def keep(entry: DirectEntry) -> None:
+def leave_unchanged(entry: DirectEntry) -> None:
     """Leave an entry as it is."""
 
 
 @dataclass(frozen=True, slots=True)
-class LeftOut:
+class Variant:
     """
     Name a way to play without a mechanism.
 
@@ -33,7 +33,7 @@
 
     name: str
     patches: tuple[tuple[object, str, object], ...] = ()
-    prepare: Callable[[DirectEntry], None] = field(default=keep)
+    prepare: Callable[[DirectEntry], None] = field(default=leave_unchanged)
 
     @contextmanager
     def applied(self) -> Iterator[None]:
@@ -64,7 +64,7 @@
     entry.admission.admit = enter
 
 
-def all_slots(entry: DirectEntry) -> None:
+def limit_by_slots(entry: DirectEntry) -> None:
     """Take every slot for room, however long passes get."""
     room_of = entry.admission._combined_capacity
 
@@ -79,7 +79,7 @@
     entry.admission._max_wait = lambda request: 0.0
 
 
-def short_wait(entry: DirectEntry) -> None:
+def short_client_retry_wait(entry: DirectEntry) -> None:
     """Let those who came back wait no longer than others."""
 
     def wait_until(request: DirectRequest, place: object, patience: float) -> float:
@@ -88,18 +88,18 @@
     entry.admission._wait_deadline = wait_until
 
 
-def no_returns(entry: DirectEntry) -> None:
+def no_retry_detection(entry: DirectEntry) -> None:
     """Tell nobody who came back from a new caller."""
     entry.admission.retry_detector.is_client_retry = lambda route, time_left: False
 
 
-def own_sums(entry: DirectEntry) -> None:
+def no_peer_reports(entry: DirectEntry) -> None:
     """Count what runs from this entry only."""
     entry.peer_reports.running_elsewhere = lambda target, now: 0
     entry.peer_reports.total_running_elsewhere = lambda targets, now: 0
 
 
-def at_once(time_left: float, pick: float) -> float:
+def shortest_retry_after(time_left: float, pick: float) -> float:
     """Have everyone come back after the shortest pause."""
     return min(admission_rule.MIN_RETRY_AFTER_SECONDS, max(time_left, 0.0))
 
@@ -112,33 +112,34 @@
 
 
 VARIANTS = (
-    LeftOut("as shipped"),
-    LeftOut("baseline: no limit", prepare=no_limit),
-    LeftOut("baseline: fixed limit", prepare=fixed_limit),
-    LeftOut("without the predicted pass", prepare=all_slots),
-    LeftOut("without waiting for room", prepare=no_wait),
-    LeftOut(
+    Variant("as shipped"),
+    Variant("baseline: no limit", prepare=no_limit),
+    Variant("baseline: fixed limit", prepare=fixed_limit),
+    Variant("without the predicted pass", prepare=limit_by_slots),
+    Variant("without waiting for room", prepare=no_wait),
+    Variant(
         "without room for new callers", ((admission_rule, "NEW_CALLER_RESERVE", 0.0),)
     ),
-    LeftOut("without telling who came back", prepare=no_returns),
-    LeftOut("without waits of those who came back", prepare=short_wait),
-    LeftOut(
-        "without spread returns", ((admission_rule, "spread_retry_after", at_once),)
+    Variant("without telling who came back", prepare=no_retry_detection),
+    Variant("without waits of those who came back", prepare=short_client_retry_wait),
+    Variant(
+        "without spread returns",
+        ((admission_rule, "spread_retry_after", shortest_retry_after),),
     ),
-    LeftOut("without sums of all entries", prepare=own_sums),
-    LeftOut(
+    Variant("without sums of all entries", prepare=no_peer_reports),
+    Variant(
         "without refusing for a group that is away",
         ((group_health.GroupHealth, "may_send", always_send),),
     ),
-    LeftOut(
+    Variant(
         "outage expected to end at once",
         ((group_health, "TYPICAL_OUTAGE_SECONDS", 0.0),),
     ),
-    LeftOut(
+    Variant(
         "outage expected never to end",
-        ((group_health, "TYPICAL_OUTAGE_SECONDS", ALWAYS),),
+        ((group_health, "TYPICAL_OUTAGE_SECONDS", INFINITE_SECONDS),),
     ),
-    LeftOut(
+    Variant(
         "longest wait for room 0.1 s", ((group_admission, "MAX_WAIT_SECONDS", 0.1),)
     ),
 )
--- a/packages/measure/src/briarthread_measure/agent_farm.py
+++ b/packages/measure/src/briarthread_measure/agent_farm.py
@@ -31,7 +31,7 @@
 MAX_RUNNING = 16
 
 
-class FarmAgent:
+class SimulatedAgent:
     """Hold one agent's load and its routes."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -70,7 +70,7 @@
     rng = random.Random(first_port)
     async with anyio.create_task_group() as tasks:
         for number in range(count):
-            agent = FarmAgent(rng)
+            agent = SimulatedAgent(rng)
             listen = f"127.0.0.1:{first_port + number}"
             tasks.start_soon(agent.change_load, changes)
             server = HttpServer(agent.app, [open_listener(listen)], 1)
--- a/packages/measure/src/briarthread_measure/drawn_arrivals.py
+++ b/packages/measure/src/briarthread_measure/arrival_simulation.py
@@ -15,11 +15,11 @@
 STREAM_SECONDS = 1.6
 SETTLED, SECONDS = 5.0, 15.0
 """From when on arrivals are counted, and until when they come, s."""
-CENTRES = ("palermo", "catania", "messina")
+DATA_CENTRES = ("palermo", "catania", "messina")
 UNEVEN = 0.5
 """Spread of callers over entries, as the deviation of a log-normal weight."""
 
-Choice = Callable[
+RankPolicy = Callable[
     [Sequence[DirectTargetState], RunningElsewhere, Mapping[str, int], random.Random],
     DirectTargetState,
 ]
@@ -27,18 +27,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DrawnLoad:
+class ArrivalLoad:
     """Arrivals a second before ranks, and the age of what entries know, s."""
 
     entries: int
     ranks: int
     slots: int
     rate: float
-    age: float
+    report_age: float
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class LoadSnapshot:
     """What ran at a moment: at each rank, and of it from each entry."""
 
     at: float
@@ -47,24 +47,24 @@
 
 
 @dataclass
-class DrawnDay:
+class ArrivalSimulation:
     """Play arrivals that each entry sends where ``choose`` says."""
 
-    load: DrawnLoad
+    load: ArrivalLoad
     seed: int
-    choose: Choice
+    choose: RankPolicy
     ends: list[tuple[float, int, int]] = field(default_factory=list)
-    seen: deque[Seen] = field(default_factory=deque)
+    seen: deque[LoadSnapshot] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         load = self.load
         ranks = [
-            DirectTarget(f"r{n}", "model", "", CENTRES[n % 3], load.slots, False)
+            DirectTarget(f"r{n}", "model", "", DATA_CENTRES[n % 3], load.slots, False)
             for n in range(load.ranks)
         ]
         rows = [
-            Instance(f"e{n}", CENTRES[n % 3], "", InstanceRole.ENTRY)
+            Instance(f"e{n}", DATA_CENTRES[n % 3], "", InstanceRole.ENTRY)
             for n in range(load.entries)
         ]
         self.states = [[DirectTargetState(rank) for rank in ranks] for _ in rows]
@@ -72,7 +72,7 @@
         self.running = [0] * load.ranks
         self.weights = [self.rng.lognormvariate(0, UNEVEN) for _ in rows]
 
-    def share_that_meets_a_full_rank(self) -> float:
+    def full_rank_share(self) -> float:
         """Return the part of arrivals that have to wait for a slot."""
         now, met, asked = 0.0, 0, 0
         while now < SECONDS:
@@ -89,8 +89,8 @@
 
     def _look(self, now: float) -> None:
         own = [[state.running for state in states] for states in self.states]
-        self.seen.append(Seen(now, list(self.running), own))
-        while len(self.seen) > 1 and self.seen[1].at <= now - self.load.age:
+        self.seen.append(LoadSnapshot(now, list(self.running), own))
+        while len(self.seen) > 1 and self.seen[1].at <= now - self.load.report_age:
             self.seen.popleft()
 
     def _choose(self, entry: int) -> int:
--- a/packages/measure/src/briarthread_measure/choice_run.py
+++ b/packages/measure/src/briarthread_measure/choice_run.py
@@ -19,13 +19,15 @@
 
 from briarthread_entry.direct.choose_target import RunningElsewhere, choose_rank
 from briarthread_entry.direct.target_state import DirectTargetState
-from briarthread_measure.drawn_arrivals import DrawnDay, DrawnLoad
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure.arrival_simulation import ArrivalLoad, ArrivalSimulation
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 
 LOADS = {
-    "12 ranks": DrawnLoad(entries=9, ranks=12, slots=6, rate=30.0, age=0.1),
-    "63 ranks": DrawnLoad(entries=46, ranks=63, slots=5, rate=120.0, age=0.35),
-    "129 ranks": DrawnLoad(entries=99, ranks=129, slots=3, rate=150.0, age=0.35),
+    "12 ranks": ArrivalLoad(entries=9, ranks=12, slots=6, rate=30.0, report_age=0.1),
+    "63 ranks": ArrivalLoad(entries=46, ranks=63, slots=5, rate=120.0, report_age=0.35),
+    "129 ranks": ArrivalLoad(
+        entries=99, ranks=129, slots=3, rate=150.0, report_age=0.35
+    ),
 }
 States = Sequence[DirectTargetState]
 Home = Mapping[str, int]
@@ -64,7 +66,7 @@
     return found
 
 
-WAYS = {
+POLICIES = {
     "least running, by chance among equals": least_loaded,
     "the same, own slots first among equals": own_among_least,
     "by chance, weighed by what is free": by_what_is_free,
@@ -72,15 +74,15 @@
 }
 
 
-def share_of(play: Play) -> float:
+def share_of(run: SimulationRun) -> float:
     """Return the part of arrivals that meet a full rank in one play."""
-    day = DrawnDay(LOADS[play.load], play.seed, WAYS[play.way])
-    return day.share_that_meets_a_full_rank()
+    day = ArrivalSimulation(LOADS[run.load], run.seed, POLICIES[run.policy])
+    return day.full_rank_share()
 
 
 def main() -> None:
     """Play everything and print a table."""
-    print_ways("way", WAYS, LOADS, share_of, docopt(__doc__))
+    print_comparison("way", POLICIES, LOADS, share_of, docopt(__doc__))
 
 
 def _least(states: States, elsewhere: RunningElsewhere) -> list[DirectTargetState]:
--- a/packages/measure/src/briarthread_measure/ways_table.py
+++ b/packages/measure/src/briarthread_measure/comparison_table.py
@@ -4,23 +4,23 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
 
-from briarthread_measure.expert_moves import spread_text
+from briarthread_measure.expert_moves import format_median_range
 
 
 @dataclass(frozen=True, slots=True)
-class Play:
+class SimulationRun:
     """One play: the names of the way and of the load, and the seed."""
 
-    way: str
+    policy: str
     load: str
     seed: int
 
 
-def print_ways(
+def print_comparison(
     title: str,
-    ways: Collection[str],
+    policies: Collection[str],
     loads: Collection[str],
-    figure: Callable[[Play], float],
+    measure: Callable[[SimulationRun], float],
     arguments: Mapping[str, str],
 ) -> None:
     """
@@ -33,9 +33,9 @@
     print(f"| {title} |", " | ".join(loads), "|")
     print("| --- |", " | ".join("---" for _ in loads), "|")
     with ProcessPoolExecutor(int(arguments["--jobs"])) as pool:
-        for way in ways:
+        for policy in policies:
             cells = []
             for load in loads:
-                plays = [Play(way, load, seed) for seed in seeds]
-                cells.append(spread_text(list(pool.map(figure, plays)), ".3f"))
-            print(f"| {way} |", " | ".join(cells), "|", flush=True)
+                runs = [SimulationRun(policy, load, seed) for seed in seeds]
+                cells.append(format_median_range(list(pool.map(measure, runs)), ".3f"))
+            print(f"| {policy} |", " | ".join(cells), "|", flush=True)
--- a/packages/measure/src/briarthread_measure/control_run.py
+++ b/packages/measure/src/briarthread_measure/control_run.py
@@ -39,8 +39,8 @@
     data_centre_name,
     instance_items,
     share_items,
+    snapshot_patch,
     text_sections,
-    whole,
 )
 from briarthread_measure.line_fit import fit_line
 from briarthread_measure.process_usage import loopback_bytes, read_usage
@@ -95,7 +95,7 @@
         "shares": share_items(SERVICES),
     }
     for feed, items in feeds.items():
-        raw = msgspec.json.encode(whole(feed, items)).decode()
+        raw = msgspec.json.encode(snapshot_patch(feed, items)).decode()
         writes = [
             RowWrite(f"feeds/{feed}/head", "1"),
             RowWrite(f"feeds/{feed}/whole", raw),
--- a/packages/measure/src/briarthread_measure/crash_ways_run.py
+++ b/packages/measure/src/briarthread_measure/crash_ways_run.py
@@ -23,7 +23,7 @@
 
 from briarthread_entry.direct import crash_tracker
 from briarthread_entry.direct.crash_rule import Strike
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 from briarthread_standins.crash_day import PLAIN, CrashDay
 from briarthread_standins.play_crashes import play_crashes
 
@@ -48,7 +48,7 @@
 BOOK = crash_tracker.CrashTracker
 NOT_PROVEN = (BOOK, "note_complete_response", lambda book, digest, now: None)
 EVERY = (crash_tracker, "count_sequential_crashes", every_strike)
-WAYS: dict[str, tuple[tuple[object, str, object], ...]] = {
+POLICIES: dict[str, tuple[tuple[object, str, object], ...]] = {
     "every strike counts": (EVERY, NOT_PROVEN),
     "one after the other only": (NOT_PROVEN,),
     "cleared by a whole answer only": (EVERY,),
@@ -57,9 +57,9 @@
 
 
 @contextmanager
-def applied(way: str) -> Iterator[None]:
+def applied(policy: str) -> Iterator[None]:
     """Have a way in force."""
-    patches = [mock.patch.object(*patch) for patch in WAYS[way]]
+    patches = [mock.patch.object(*patch) for patch in POLICIES[policy]]
     for patch in patches:
         patch.start()
     try:
@@ -69,16 +69,16 @@
             patch.stop()
 
 
-def shut_out(play: Play) -> float:
+def shut_out(run: SimulationRun) -> float:
     """Return how many requests are shut out in one play."""
     logger.remove()
-    with applied(play.way):
-        return play_crashes(replace(LOADS[play.load], seed=play.seed)).shut_out
+    with applied(run.policy):
+        return play_crashes(replace(LOADS[run.load], seed=run.seed)).shut_out
 
 
 def main() -> None:
     """Play everything and print a table."""
-    print_ways("way", WAYS, LOADS, shut_out, docopt(__doc__))
+    print_comparison("way", POLICIES, LOADS, shut_out, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/expert_moves.py
+++ b/packages/measure/src/briarthread_measure/expert_moves.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
+class PolicyResults:
     """Hold what a policy made of a day."""
 
     skews: list[float]
@@ -53,7 +53,7 @@
     moves: int
 
 
-class Drift:
+class DriftingPopularity:
     """Give token counts by the minute, from a drifting popularity."""
 
     def __init__(self, seed: int) -> None:
@@ -78,9 +78,9 @@
         return [round(TOKENS * weight / total) for weight in weights]
 
 
-def run_day(seed: int, hours: int, policy: Policy) -> Day:
+def simulate_day(seed: int, hours: int, policy: Policy) -> PolicyResults:
     """Run a policy over a day; it sees the decayed counts, not the drift."""
-    drift = Drift(seed)
+    drift = DriftingPopularity(seed)
     popularity = Popularity(LAYERS, EXPERTS)
     present = even_map(1, LAYERS, EXPERTS, RANKS)
     skews: list[float] = []
@@ -94,14 +94,14 @@
             moved += moved_experts(present, new)
             moves += 1
             present = new
-    return Day(skews, moved, moves)
+    return PolicyResults(skews, moved, moves)
 
 
 def never(minute: int, present: ExpertMap, counts: list[list[float]]) -> None:
     """Never move."""
 
 
-def every(minutes: int) -> Policy:
+def place_every(minutes: int) -> Policy:
     """Place everything anew each so many minutes."""
 
     def policy(
@@ -114,7 +114,7 @@
     return policy
 
 
-def weighed(skew_weight: float, rebalance_weight: float) -> Policy:
+def apply_move_rule(skew_weight: float, rebalance_weight: float) -> Policy:
     """Move by the rule, looking every five minutes."""
     objective = Objective(skew_weight, rebalance_weight)
 
@@ -133,10 +133,10 @@
 
 POLICIES: dict[str, Policy] = {
     "never": never,
-    "every hour, all anew": every(60),
-    "every minute, all anew": every(1),
-    "rule, Caruso 4:1": weighed(4, 1),
-    "rule, Paristokierto 1:4": weighed(1, 4),
+    "every hour, all anew": place_every(60),
+    "every minute, all anew": place_every(1),
+    "rule, Caruso 4:1": apply_move_rule(4, 1),
+    "rule, Paristokierto 1:4": apply_move_rule(1, 4),
 }
 
 
@@ -146,7 +146,7 @@
     return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
 
 
-def spread_text(values: list[float], form: str) -> str:
+def format_median_range(values: list[float], form: str) -> str:
     """Return the median of some values with the least and the largest."""
     low, middle, high = min(values), median(values), max(values)
     return f"{middle:{form}} ({low:{form}}..{high:{form}})"
@@ -157,15 +157,15 @@
     arguments = docopt(__doc__)
     seeds, hours = int(arguments["--seeds"]), int(arguments["--hours"])
     for name, policy in POLICIES.items():
-        days = [run_day(seed, hours, policy) for seed in range(seeds)]
-        p50 = spread_text([percentile(day.skews, 0.5) for day in days], ".3f")
-        p95 = spread_text([percentile(day.skews, 0.95) for day in days], ".3f")
-        p99 = spread_text([percentile(day.skews, 0.99) for day in days], ".3f")
+        days = [simulate_day(seed, hours, policy) for seed in range(seeds)]
+        p50 = format_median_range([percentile(day.skews, 0.5) for day in days], ".3f")
+        p95 = format_median_range([percentile(day.skews, 0.95) for day in days], ".3f")
+        p99 = format_median_range([percentile(day.skews, 0.99) for day in days], ".3f")
         scaled = [day.moved * EXPERT_BYTES / 1e12 for day in days]
-        moves = spread_text([float(day.moves) for day in days], ".0f")
+        moves = format_median_range([float(day.moves) for day in days], ".0f")
         print(
             f"{name:24} skew p50 {p50} p95 {p95} p99 {p99} "
-            f"TB moved {spread_text(scaled, '.3f')} moves {moves}",
+            f"TB moved {format_median_range(scaled, '.3f')} moves {moves}",
             flush=True,
         )
 
--- a/packages/measure/src/briarthread_measure/full_size.py
+++ b/packages/measure/src/briarthread_measure/full_size.py
@@ -15,7 +15,7 @@
 REGIONS = 4
 SHARES = 12
 GROUP_RANKS = 32
-RANKS_A_TARGET = 8
+RANKS_PER_TARGET = 8
 EXPERTS = 256
 LAYERS = 58
 
@@ -97,6 +97,6 @@
     return items
 
 
-def whole(feed: str, items: dict[str, str], number: int = 1) -> FeedPatch:
+def snapshot_patch(feed: str, items: dict[str, str], number: int = 1) -> FeedPatch:
     """Return a whole patch of a feed."""
     return FeedPatch(feed, SNAPSHOT_BASE, number, dict(items))
--- a/packages/measure/src/briarthread_measure/group_choice_run.py
+++ b/packages/measure/src/briarthread_measure/group_choice_run.py
@@ -26,8 +26,8 @@
     GroupCapacities,
     groups_with_capacity,
 )
-from briarthread_measure import group_ways
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure import group_policies
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 from briarthread_standins.load_day import LoadDay
 from briarthread_standins.play_load import play_load
 
@@ -50,27 +50,27 @@
     ),
 }
 NOT_TOLD = "groups not told apart"
-WAYS = {
-    NOT_TOLD: group_ways.any_group,
-    "any group, by the rank": group_ways.any_group,
-    "shortest predicted pass": group_ways.least_pass,
-    "the better of two by chance": group_ways.two_by_chance,
-    "by chance, by free room": group_ways.by_free_room,
-    "largest free part": group_ways.by_free_share,
+POLICIES = {
+    NOT_TOLD: group_policies.any_group,
+    "any group, by the rank": group_policies.any_group,
+    "shortest predicted pass": group_policies.shortest_pass,
+    "the better of two by chance": group_policies.better_of_two,
+    "by chance, by free room": group_policies.weighted_by_free_capacity,
+    "largest free part": group_policies.largest_free_share,
 }
 
 
 def outlook(
     entry: DirectEntry, group: GroupId, room: GroupCapacity
-) -> group_ways.GroupOutlook:
+) -> group_policies.GroupForecast:
     """Return what an entry expects of a group that gets one request more."""
     meter = entry.capacity.meters[group]
     each = meter.request_cost(anyio.current_time()) or meter.initial_cost
-    next_pass = meter.fixed_seconds + each * (room.running + 1)
-    return group_ways.GroupOutlook(room.free, room.limit, next_pass)
+    next_pass_seconds = meter.fixed_seconds + each * (room.running + 1)
+    return group_policies.GroupForecast(room.free, room.limit, next_pass_seconds)
 
 
-def worth_of(play: Play) -> float:
+def worth_of(run: SimulationRun) -> float:
     """Return what callers get in a play."""
     logger.remove()
 
@@ -82,17 +82,17 @@
             }
             if not with_room:
                 return set(rooms)
-            return WAYS[play.way](with_room, entry.admission.rng)
+            return POLICIES[run.policy](with_room, entry.admission.rng)
 
         entry.admission._allowed_groups = choose
 
-    day = replace(LOADS[play.load], seed=play.seed, told=play.way != NOT_TOLD)
+    day = replace(LOADS[run.load], seed=run.seed, told=run.policy != NOT_TOLD)
     return play_load(day, prepare).worth
 
 
 def main() -> None:
     """Print a table with a line for each way."""
-    print_ways("way", WAYS, LOADS, worth_of, docopt(__doc__))
+    print_comparison("way", POLICIES, LOADS, worth_of, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/limit_ways.py
+++ b/packages/measure/src/briarthread_measure/limit_policies.py
@@ -14,16 +14,16 @@
 Prepare = Callable[[DirectEntry], None]
 
 
-def dealt_by_one(entry: DirectEntry) -> None:
+def single_issuer(entry: DirectEntry) -> None:
     """Leave an entry as it is: it asks the one that deals the limit."""
 
 
-def no_limits(entry: DirectEntry) -> None:
+def ignore_limits(entry: DirectEntry) -> None:
     """Send as if no target named a limit."""
     entry.tokens.is_limited = lambda target: False
 
 
-def even_parts(entry: DirectEntry) -> None:
+def equal_shares(entry: DirectEntry) -> None:
     """Give each entry its part of the rate, with room for one request."""
 
     def part(target: DirectTarget, limit: float) -> float:
@@ -32,7 +32,7 @@
     _take_by(entry, part)
 
 
-def few_holders(entry: DirectEntry) -> None:
+def few_senders(entry: DirectEntry) -> None:
     """Let as many entries send as the limit has whole requests a second."""
 
     def part(target: DirectTarget, limit: float) -> float:
@@ -62,9 +62,9 @@
     entry.tokens.acquire = take
 
 
-WAYS: dict[str, Prepare] = {
-    "no limit kept": no_limits,
-    "even parts": even_parts,
-    "few holders": few_holders,
-    "dealt by one entry": dealt_by_one,
+POLICIES: dict[str, Prepare] = {
+    "no limit kept": ignore_limits,
+    "even parts": equal_shares,
+    "few holders": few_senders,
+    "dealt by one entry": single_issuer,
 }
--- a/packages/measure/src/briarthread_measure/limit_run.py
+++ b/packages/measure/src/briarthread_measure/limit_run.py
@@ -21,7 +21,7 @@
 from docopt import docopt
 from loguru import logger
 
-from briarthread_measure.limit_ways import WAYS
+from briarthread_measure.limit_policies import POLICIES
 from briarthread_standins.direct_config import DIARY
 from briarthread_standins.limit_day import LimitDay, LimitStep
 from briarthread_standins.limit_tally import allowed
@@ -69,9 +69,9 @@
 }
 
 
-def cell(way: str, day: LimitDay, limit: float) -> str:
+def cell(policy: str, day: LimitDay, limit: float) -> str:
     """Play a day in one way and return what its target got."""
-    tally = play_limits(day, WAYS[way])
+    tally = play_limits(day, POLICIES[policy])
     since = NAMED_AT + STABLE_SECONDS
     got = tally.a_second(0, since, day.seconds) / limit
     served = tally.statuses[200] / max(sum(tally.statuses.values()), 1)
@@ -90,10 +90,10 @@
         print("| --- |", " | ".join("---" for _ in limits), "|")
         print("| allowed |", " | ".join(f"{allowed(float(x)):g}" for x in limits), "|")
         for load in loads:
-            for way in WAYS:
+            for policy in POLICIES:
                 days = [(LOADS[load](entries, one, seconds), one) for one in limits]
-                cells = [cell(way, day, float(one)) for day, one in days]
-                print(f"| {load}: {way} |", " | ".join(cells), "|", flush=True)
+                cells = [cell(policy, day, float(one)) for day, one in days]
+                print(f"| {load}: {policy} |", " | ".join(cells), "|", flush=True)
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/map_search_run.py
+++ b/packages/measure/src/briarthread_measure/map_search_run.py
@@ -27,7 +27,7 @@
 from briarthread_common.placement import set_rebalance
 from briarthread_common.placement.rank_loads import slowest_load
 from briarthread_common.placement.set_rebalance import PassDuration, search_set_changes
-from briarthread_measure.expert_moves import spread_text
+from briarthread_measure.expert_moves import format_median_range
 
 SIZES = {
     12: ExpertLayout(sets=4, experts=72, slots_per_rank=8, max_new_experts=2),
@@ -91,10 +91,10 @@
 
 def _row(name: str, found: list[Found]) -> str:
     cells = [
-        spread_text([one.before for one in found], ".2f"),
-        spread_text([one.after for one in found], ".2f"),
-        spread_text([float(one.loads) for one in found], ".0f"),
-        spread_text([one.milliseconds for one in found], ".0f"),
+        format_median_range([one.before for one in found], ".2f"),
+        format_median_range([one.after for one in found], ".2f"),
+        format_median_range([float(one.loads) for one in found], ".0f"),
+        format_median_range([one.milliseconds for one in found], ".0f"),
     ]
     return f"| {name} | {' | '.join(cells)} |"
 
--- a/packages/measure/src/briarthread_measure/memory_probe.py
+++ b/packages/measure/src/briarthread_measure/memory_probe.py
@@ -30,8 +30,8 @@
     GROUP_RANKS,
     instance_items,
     share_items,
+    snapshot_patch,
     text_sections,
-    whole,
 )
 from briarthread_measure.process_usage import read_usage
 
@@ -42,7 +42,7 @@
 def hold_accounts(count: int) -> object:
     """Hold a text with so many accounts, raw and typed."""
     feeds = FeedSet()
-    feeds.text.install(whole("text", text_sections(count)))
+    feeds.text.install(snapshot_patch("text", text_sections(count)))
     view = TextView(feeds.text)
     return feeds, view.current()
 
@@ -50,7 +50,7 @@
 def hold_services(count: int) -> object:
     """Hold a text with so many services."""
     feeds = FeedSet()
-    feeds.text.install(whole("text", text_sections(0, count)))
+    feeds.text.install(snapshot_patch("text", text_sections(0, count)))
     view = TextView(feeds.text)
     return feeds, view.current()
 
@@ -58,7 +58,9 @@
 def hold_instances(count: int) -> object:
     """Hold an instance list, raw and typed."""
     feeds = FeedSet()
-    feeds.instances.install(whole("instances", instance_items(0, count, ADDRESSES)))
+    feeds.instances.install(
+        snapshot_patch("instances", instance_items(0, count, ADDRESSES))
+    )
     directory = Directory(feeds.instances)
     return feeds, directory.all(), directory
 
@@ -68,7 +70,7 @@
     services = max(count // (DATA_CENTRES * 12), 1)
     feeds = FeedSet()
     items = share_items(services)
-    feeds.shares.install(whole("shares", items))
+    feeds.shares.install(snapshot_patch("shares", items))
     view = ShareView(feeds.shares)
     rows = [
         view.get(service, data_centre, int(share))
@@ -105,7 +107,7 @@
 def hold_buckets(count: int) -> object:
     """Hold the limits' state of so many active accounts."""
     feeds = FeedSet()
-    feeds.text.install(whole("text", text_sections(count)))
+    feeds.text.install(snapshot_patch("text", text_sections(count)))
     accounts = TextView(feeds.text).current().accounts
     before = read_usage(os.getpid()).rss
     limiter = AccountLimiter(Clock())
--- a/packages/measure/src/briarthread_measure/open_load.py
+++ b/packages/measure/src/briarthread_measure/open_load.py
@@ -14,10 +14,10 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class LoadResults:
     """Count the answers; latencies in seconds, of good ones and of refusals."""
 
-    asked: int = 0
+    requests: int = 0
     good: int = 0
     refused: int = 0
     unknown: int = 0
@@ -46,21 +46,21 @@
 
     async def run(
         self, account: str, rate: float, seconds: float, timeout: float
-    ) -> Tally:
+    ) -> LoadResults:
         """Send ``rate`` requests a second for a while and count the answers."""
-        tally = Tally()
+        tally = LoadResults()
         entries = [n for n in self.world.members if n.startswith("entry-")]
         end = self.world.clock.now() + seconds
         async with anyio.create_task_group() as tasks:
             while self.world.clock.now() < end:
                 await anyio.sleep(self.rng.expovariate(rate))
-                entry = entries[tally.asked % len(entries)]
-                tally.asked += 1
+                entry = entries[tally.requests % len(entries)]
+                tally.requests += 1
                 tasks.start_soon(self._ask, entry, account, timeout, tally)
         return tally
 
     async def _ask(
-        self, entry: str, account: str, timeout: float, tally: Tally
+        self, entry: str, account: str, timeout: float, tally: LoadResults
     ) -> None:
         start = self.world.clock.now()
         answer = await self.world.call(
--- a/packages/measure/src/briarthread_measure/overload_run.py
+++ b/packages/measure/src/briarthread_measure/overload_run.py
@@ -20,8 +20,8 @@
 from briarthread_agent.limits.fair_queue import FairQueue
 from briarthread_common.utils.decaying_mean import DecayingMean
 from briarthread_entry.retries.retry_budget import RetryBudget
-from briarthread_measure.expert_moves import percentile, spread_text
-from briarthread_measure.open_load import OpenLoad, Tally
+from briarthread_measure.expert_moves import format_median_range, percentile
+from briarthread_measure.open_load import LoadResults, OpenLoad
 from briarthread_standins.virtual_time import run_virtual
 from briarthread_standins.world import World
 
@@ -70,21 +70,21 @@
 
 async def run_overload(
     load_part: float, seed: int, blind: bool
-) -> tuple[Tally, Tally, float]:
+) -> tuple[LoadResults, LoadResults, float]:
     """Return the tallies under load and after it, and attempts a request."""
     async with anyio.create_task_group() as tasks:
         load = await start_world(tasks, seed, blind)
         before = load.world.network.messages
         tally = await load.run("caller", load_part * CAPACITY, SECONDS, TIMEOUT)
-        attempts = (load.world.network.messages - before) / tally.asked
+        attempts = (load.world.network.messages - before) / tally.requests
         after = await load.run("caller", 0.5 * CAPACITY, 2.0, TIMEOUT)
         tasks.cancel_scope.cancel()
     return tally, after, attempts
 
 
-async def run_fairness(large_part: float, seed: int) -> Tally:
+async def run_fairness(large_part: float, seed: int) -> LoadResults:
     """Return the small account's tally beside a large one."""
-    tallies: list[Tally] = []
+    tallies: list[LoadResults] = []
     async with anyio.create_task_group() as tasks:
         load = await start_world(tasks, seed, False)
 
@@ -106,18 +106,20 @@
     for part in LOADS:
         runs = [run_virtual(run_overload, part, seed, blind) for seed in range(seeds)]
         goodput = [one.good / SECONDS / CAPACITY for one, _, _ in runs]
-        late = [one.unknown / one.asked for one, _, _ in runs]
+        late = [one.unknown / one.requests for one, _, _ in runs]
         refusal = [
             percentile(one.refusal_latencies or [0.0], 0.99) * 1000
             for one, _, _ in runs
         ]
-        after = [tally.good / tally.asked for _, tally, _ in runs]
+        after = [tally.good / tally.requests for _, tally, _ in runs]
         calls = [attempts for _, _, attempts in runs]
         print(
             f"{'baseline' if blind else 'briarthread':12} load {part:3} "
-            f"goodput {spread_text(goodput, '.2f')}, late {spread_text(late, '.3f')}, "
-            f"refusal p99 {spread_text(refusal, '.0f')} ms, calls a request "
-            f"{spread_text(calls, '.1f')}, good after {spread_text(after, '.2f')}",
+            f"goodput {format_median_range(goodput, '.2f')}, "
+            f"late {format_median_range(late, '.3f')}, "
+            f"refusal p99 {format_median_range(refusal, '.0f')} ms, calls a request "
+            f"{format_median_range(calls, '.1f')}, "
+            f"good after {format_median_range(after, '.2f')}",
             flush=True,
         )
 
@@ -130,8 +132,8 @@
         show_overload(seeds, blind)
     for part in (0.0, 5.0):
         runs = [run_virtual(run_fairness, part, seed) for seed in range(seeds)]
-        good = spread_text([one.good / one.asked for one in runs], ".3f")
-        p99 = spread_text(
+        good = format_median_range([one.good / one.requests for one in runs], ".3f")
+        p99 = format_median_range(
             [percentile(one.latencies, 0.99) * 1000 for one in runs], ".0f"
         )
         print(
--- a/packages/measure/src/briarthread_measure/relay_run.py
+++ b/packages/measure/src/briarthread_measure/relay_run.py
@@ -22,7 +22,7 @@
 from docopt import docopt
 
 from briarthread_common.utils.hashing import key_digest
-from briarthread_measure.expert_moves import percentile, spread_text
+from briarthread_measure.expert_moves import format_median_range, percentile
 from briarthread_measure.process_usage import read_usage
 from briarthread_standins.deployment import Deployment, wait_until
 
@@ -105,10 +105,10 @@
 
 def show(way: Way, title: str, runs: list[Figures]) -> None:
     """Print a way's figures: median (least..largest) of the repeats."""
-    p50 = spread_text([run.p50 for run in runs], ".2f")
-    p99 = spread_text([run.p99 for run in runs], ".2f")
-    rate = spread_text([run.rate for run in runs], ".0f")
-    cpu = spread_text([run.cpu for run in runs], ".2f")
+    p50 = format_median_range([run.p50 for run in runs], ".2f")
+    p99 = format_median_range([run.p99 for run in runs], ".2f")
+    rate = format_median_range([run.rate for run in runs], ".0f")
+    cpu = format_median_range([run.cpu for run in runs], ".2f")
     failures = sum(run.failures for run in runs)
     print(
         f"{title:16} {way.name:17} p50 {p50} ms, p99 {p99} ms, {rate}/s, "
--- a/packages/measure/src/briarthread_measure/routing_run.py
+++ b/packages/measure/src/briarthread_measure/routing_run.py
@@ -21,8 +21,8 @@
 
 from briarthread_entry.routing.choose_target import Choose, choose_target
 from briarthread_entry.routing.target_state import TargetState
-from briarthread_measure.expert_moves import percentile, spread_text
-from briarthread_measure.open_load import OpenLoad, Tally
+from briarthread_measure.expert_moves import format_median_range, percentile
+from briarthread_measure.open_load import LoadResults, OpenLoad
 from briarthread_standins.virtual_time import run_virtual
 from briarthread_standins.world import World
 
@@ -70,7 +70,7 @@
     )
 
 
-WAYS: dict[str, Callable[[], Choose]] = {
+POLICIES: dict[str, Callable[[], Choose]] = {
     "random": lambda: choose_random,
     "round robin": RoundRobin,
     "least reported": lambda: choose_least_requests,
@@ -78,7 +78,7 @@
 }
 
 
-async def run(way: str, seed: int) -> Tally:
+async def run(policy: str, seed: int) -> LoadResults:
     """Run one way with one seed."""
     async with anyio.create_task_group() as tasks:
         world = World(tasks, seed)
@@ -90,7 +90,7 @@
         load = OpenLoad(world, TEXT, seed)
         await load.start()
         for number in range(ENTRIES):
-            world.entry(f"entry-{number}").router.choose = WAYS[way]()
+            world.entry(f"entry-{number}").router.choose = POLICIES[policy]()
         capacity = SLOTS * (TARGETS - 1 + 1 / SLOW_FACTOR) / SERVICE_SECONDS
         tally = await load.run("caller", LOAD_PART * capacity, SECONDS, 5.0)
         tasks.cancel_scope.cancel()
@@ -101,17 +101,17 @@
     """Print a line a way."""
     seeds = int(docopt(__doc__)["--seeds"])
     logger.remove()
-    for way in WAYS:
-        runs = [run_virtual(run, way, seed) for seed in range(seeds)]
+    for policy in POLICIES:
+        runs = [run_virtual(run, policy, seed) for seed in range(seeds)]
         columns = [
             f"p{part * 100:.0f} "
-            + spread_text(
+            + format_median_range(
                 [percentile(one.latencies, part) * 1000 for one in runs], ".0f"
             )
             for part in (0.5, 0.95, 0.99)
         ]
         failed = sum(one.refused + one.unknown for one in runs)
-        print(f"{way:16} ms {', '.join(columns)}; {failed} failed", flush=True)
+        print(f"{policy:16} ms {', '.join(columns)}; {failed} failed", flush=True)
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/spread_run.py
+++ b/packages/measure/src/briarthread_measure/spread_run.py
@@ -18,7 +18,7 @@
 from docopt import docopt
 from loguru import logger
 
-from briarthread_measure.expert_moves import spread_text
+from briarthread_measure.expert_moves import format_median_range
 from briarthread_measure.line_fit import fit_line
 from briarthread_standins.virtual_time import run_virtual
 from briarthread_standins.world import World
@@ -87,8 +87,8 @@
         per_process = []
         for size in SIZES:
             runs = [run_virtual(run, size, seed, failing) for seed in range(seeds)]
-            seconds = spread_text([one.seconds for one in runs], ".2f")
-            messages = spread_text([one.messages for one in runs], ".1f")
+            seconds = format_median_range([one.seconds for one in runs], ".2f")
+            messages = format_median_range([one.messages for one in runs], ".1f")
             per_process.append(sum(one.messages for one in runs) / seeds)
             state = "a tenth dead" if failing else "all alive"
             print(
--- a/tests/direct/test_assigned_slots.py
+++ b/tests/direct/test_assigned_slots.py
@@ -14,22 +14,28 @@
 from briarthread_entry.direct.assigned_slots import assign_slots
 from briarthread_entry.direct.choose_target import choose_rank
 from briarthread_entry.direct.target_state import DirectTargetState
+from briarthread_measure.arrival_simulation import (
+    DATA_CENTRES,
+    ArrivalLoad,
+    ArrivalSimulation,
+)
 from briarthread_measure.choice_run import LOADS, least_loaded, own_slots_first
-from briarthread_measure.drawn_arrivals import CENTRES, DrawnDay, DrawnLoad
 
 
 @pytest.mark.parametrize("load", LOADS.values(), ids=LOADS)
 def test_fewer_requests_meet_a_full_rank_than_with_the_least_loaded_policy(
-    load: DrawnLoad,
+    load: ArrivalLoad,
 ) -> None:
-    actual = DrawnDay(load, 3, own_slots_first).share_that_meets_a_full_rank()
-    baseline = DrawnDay(load, 3, least_loaded).share_that_meets_a_full_rank()
+    actual = ArrivalSimulation(load, 3, own_slots_first).full_rank_share()
+    baseline = ArrivalSimulation(load, 3, least_loaded).full_rank_share()
     assert actual <= 0.75 * baseline
 
 
 def test_every_slot_is_assigned_to_exactly_one_entry() -> None:
-    rows = [Instance(f"e{n}", CENTRES[n % 2], "", InstanceRole.ENTRY) for n in range(7)]
-    ranks = [build_target(f"r{n}", data_centre=CENTRES[n % 3]) for n in range(9)]
+    rows = [
+        Instance(f"e{n}", DATA_CENTRES[n % 2], "", InstanceRole.ENTRY) for n in range(7)
+    ]
+    ranks = [build_target(f"r{n}", data_centre=DATA_CENTRES[n % 3]) for n in range(9)]
     assigned = [assign_slots(row.name, rows, ranks) for row in rows]
     for rank in ranks:
         assert sum(slots.get(rank.name, 0) for slots in assigned) == rank.slots
--- a/tests/direct/test_left_out.py
+++ b/tests/direct/test_left_out.py
@@ -3,7 +3,7 @@
 import pytest
 
 from briarthread_entry.direct import admission_rule, group_admission, group_health
-from briarthread_measure.left_out import VARIANTS, LeftOut
+from briarthread_measure.admission_variants import VARIANTS, Variant
 from briarthread_standins.load_day import LoadDay
 from briarthread_standins.play_load import play_load
 
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("variant", VARIANTS, ids=lambda variant: variant.name)
-def test_variant_runs_and_restores_the_code(variant: LeftOut) -> None:
+def test_variant_runs_and_restores_the_code(variant: Variant) -> None:
     before = current_values()
     with variant.applied():
         assert (current_values() != before) == bool(variant.patches)
--- a/tests/direct/test_load.py
+++ b/tests/direct/test_load.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from briarthread_measure.left_out import fixed_limit, keep, no_limit
+from briarthread_measure.admission_variants import (
+    fixed_limit,
+    leave_unchanged,
+    no_limit,
+)
 from briarthread_standins.caller_tally import CallerTally
 from briarthread_standins.load_day import LoadDay
 from briarthread_standins.play_load import play_load
@@ -28,7 +32,7 @@
     return play_load(day, LIMITS[limit])
 
 
-LIMITS = {"group": keep, "none": no_limit, "fixed": fixed_limit}
+LIMITS = {"group": leave_unchanged, "none": no_limit, "fixed": fixed_limit}
 """The group's own limit and the baselines to compare it with."""
 
 
--- a/tests/fuzz/booking_machine.py
+++ b/tests/fuzz/booking_machine.py
@@ -92,10 +92,10 @@
         count("asks")
         epoch = int(self.live.loop.time() // KEY_LIFE)
         key = f"<{account}/{epoch}/{number}>"
-        self.do(self.tasks.start_soon, self._ask, key, entry, account, patience)
+        self.call(self.tasks.start_soon, self._ask, key, entry, account, patience)
 
     async def _ask(self, key: str, entry: str, account: int, patience: float) -> None:
-        self.oracle.note_ask(key)
+        self.oracle.record_request(key)
         with anyio.move_on_after(patience):
             try:
                 answer = await self.world.call(
@@ -105,21 +105,21 @@
                 pass
             else:
                 count(f"answers {answer.status} {answer.outcome}".strip())
-                self.oracle.note_answer(key, answer, self.world.runs(key))
+                self.oracle.record_response(key, answer, self.world.runs(key))
                 return
-        self.oracle.note_hang_up(key)
+        self.oracle.record_disconnect(key)
 
     @rule(seconds=st.sampled_from([0.001, 0.003, 0.006, 0.02, 0.3, 1.5, 6.0, 15.0]))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
         count("waits")
-        self.let_pass(seconds)
+        self.advance(seconds)
 
     @rule(fault=faults(SITES, ENTRIES, AGENTS))
     def break_something(self, fault: Fault) -> None:
         """Bring a fault about."""
         count(type(fault).__name__)
-        self.do(self._break, fault)
+        self.call(self._break, fault)
 
     def _break(self, fault: Fault) -> None:
         match fault:
@@ -161,7 +161,7 @@
     def repair(self, which: int) -> None:
         """Mend one kind of fault everywhere."""
         count("repairs")
-        self.do(self._repair, which)
+        self.call(self._repair, which)
 
     def _repair(self, which: int) -> None:
         match which:
@@ -182,13 +182,13 @@
             self.oracle.check_runs(key, self.world.runs(key))
         assert not self.oracle.violations, self.oracle.violations
 
-    def repair_all(self) -> None:
+    def repair_all_faults(self) -> None:
         """Mend every fault."""
         for which in range(KINDS_OF_REPAIR):
             self._repair(which)
 
-    def check_end(self) -> None:
+    def check_final_state(self) -> None:
         """Check the final counts of all keys."""
         for key in self.oracle.keys:
-            self.oracle.check_end(key, self.world.runs(key))
+            self.oracle.check_final_runs(key, self.world.runs(key))
         assert not self.oracle.violations, self.oracle.violations
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -85,10 +85,10 @@
     | Unlist
 )
 
-ATTEMPTS = "/agent/v1/attempts"
-REVOKE = "/agent/v1/revoke"
-MEMORY = "/agent/v1/shares/memory"
-TRANSACTIONS = "/v1/table/transactions"
+ATTEMPTS_PATH = "/agent/v1/attempts"
+REVOKE_PATH = "/agent/v1/revoke"
+HAND_OVER_PATH = "/agent/v1/shares/memory"
+TRANSACTIONS_PATH = "/v1/table/transactions"
 
 
 def faults(
@@ -107,9 +107,15 @@
         st.builds(SwitchPlatform, st.sampled_from(list(PlatformMode))),
         st.builds(
             LoseAnswers,
-            st.sampled_from([ATTEMPTS, REVOKE, MEMORY, TRANSACTIONS]),
+            st.sampled_from(
+                [ATTEMPTS_PATH, REVOKE_PATH, HAND_OVER_PATH, TRANSACTIONS_PATH]
+            ),
+            times,
+        ),
+        st.builds(
+            Duplicate,
+            st.sampled_from([ATTEMPTS_PATH, REVOKE_PATH, HAND_OVER_PATH]),
             times,
         ),
-        st.builds(Duplicate, st.sampled_from([ATTEMPTS, REVOKE, MEMORY]), times),
         st.builds(Unlist, agent),
     )
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -22,7 +22,7 @@
 RANKS = tuple(f"rank-{number}" for number in range(3))
 PLANNER_SITES = ("planner-0", "planner-1")
 PATHS = (STAGE_PATH, ANNOUNCE_PATH, CONFIRM_PATH, VERDICT_PATH, ORDER_PATH)
-VERSIONS_A_FENCE = 1000
+VERSIONS_PER_FENCE = 1000
 CONFIRM_SECONDS = 0.08
 """Time in which a planner gets as far as its first confirmations."""
 CALM_SECONDS = 4.0
@@ -68,8 +68,8 @@
         if new_lease:
             self.fence += 1
         self.proposals += 1
-        version = self.fence * VERSIONS_A_FENCE + self.proposals
-        self.do(self.tasks.start_soon, self._propose, planner, version)
+        version = self.fence * VERSIONS_PER_FENCE + self.proposals
+        self.call(self.tasks.start_soon, self._propose, planner, version)
 
     async def _propose(self, planner: int, version: int) -> None:
         group = self.world.entry("entry-0").text.current().groups["experts"]
@@ -79,7 +79,7 @@
         expert_map = even_map(version, 1, 8, len(RANKS))
         with anyio.CancelScope() as scope:
             self.planner_scopes.append(scope)
-            fence = version // VERSIONS_A_FENCE
+            fence = version // VERSIONS_PER_FENCE
             result = await coordinator.activate(group, expert_map, fence)
             count(type(result).__name__)
 
@@ -101,19 +101,19 @@
         """Let a planner die after only some ranks got its confirmation."""
         count("planner deaths in a confirmation")
         if calm:
-            self.do(self.repair_all)
-            self.let_pass(CALM_SECONDS)
+            self.call(self.repair_all_faults)
+            self.advance(CALM_SECONDS)
         network = self.world.network
         network.late = late
         for name in set(RANKS) - confirmed:
             address = self.world.instances[name].address
             network.delay[f"{CONFIRM_PATH}@{address}"] = 1
         self.propose(0, new_lease=True)
-        self.let_pass(CONFIRM_SECONDS)
-        self.do(self._kill_planners)
+        self.advance(CONFIRM_SECONDS)
+        self.call(self._kill_planners)
         for name in confirmed:
-            self.do(self._strike, name, then)
-        self.let_pass(seconds)
+            self.call(self._strike, name, then)
+        self.advance(seconds)
 
     def _strike(self, name: str, then: str) -> None:
         match then:
@@ -129,7 +129,7 @@
     def kill_planners(self) -> None:
         """Kill all planners in the middle of what they do."""
         count("planner kills")
-        self.do(self._kill_planners)
+        self.call(self._kill_planners)
 
     def _kill_planners(self) -> None:
         for scope in self.planner_scopes:
@@ -139,23 +139,23 @@
     @rule(seconds=st.sampled_from([0.002, 0.004, 0.01, 0.05, 0.2, 0.6, 0.7, 1.0, 3.0]))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
-        self.let_pass(seconds)
+        self.advance(seconds)
 
     @rule(name=st.sampled_from(RANKS), again=st.booleans())
     def kill_agent(self, name: str, again: bool) -> None:
         """Kill an agent, perhaps replacing it at once."""
         count("agent kills")
-        self.do(self.world.kill, name)
+        self.call(self.world.kill, name)
         if again:
-            self.do(self.world.start, name)
+            self.call(self.world.start, name)
 
     @rule(number=st.integers(0, len(RANKS) - 1), again=st.booleans())
     def kill_engine(self, number: int, again: bool) -> None:
         """Kill an engine, perhaps replacing it at once."""
         count("engine kills")
-        self.do(self._kill_engine, number)
+        self.call(self._kill_engine, number)
         if again:
-            self.do(self._start_engine, number)
+            self.call(self._start_engine, number)
 
     def _kill_engine(self, number: int) -> None:
         self.group.engines[number].alive = False
@@ -176,7 +176,7 @@
     def freeze_agent(self, name: str) -> None:
         """Hold back all messages of an agent."""
         count("freezes")
-        self.do(self.freeze, name, True)
+        self.call(self.freeze, name, True)
 
     @rule(planner=st.sampled_from(PLANNER_SITES))
     def cut(self, planner: str) -> None:
@@ -216,9 +216,9 @@
     def repair(self) -> None:
         """Mend everything."""
         count("repairs")
-        self.do(self.repair_all)
+        self.call(self.repair_all_faults)
 
-    def repair_all(self) -> None:
+    def repair_all_faults(self) -> None:
         """Mend every fault."""
         for name in RANKS:
             self.freeze(name, False)
@@ -233,10 +233,10 @@
         """Check the steps so far."""
         assert not self.group.mismatches, self.group.mismatches
 
-    def check_end(self) -> None:
+    def check_final_state(self) -> None:
         """Check that the group steps, on one map."""
         before = self.group.step
-        self.let_pass(5.0)
+        self.advance(5.0)
         states = [engine.state() for engine in self.group.engines]
         assert self.group.step > before, states
         assert not self.group.mismatches, self.group.mismatches
--- a/tests/fuzz/world_machine.py
+++ b/tests/fuzz/world_machine.py
@@ -23,7 +23,7 @@
     """
     Hold a world between the steps of a machine.
 
-    Subclasses override ``build``, ``repair_all`` and ``check_end``.
+    Subclasses override ``build``, ``repair_all_faults`` and ``check_final_state``.
     """
 
     live: LiveWorld
@@ -42,11 +42,11 @@
         """Bring the world up and return it."""
         raise NotImplementedError
 
-    def repair_all(self) -> None:
+    def repair_all_faults(self) -> None:
         """Mend every fault."""
         raise NotImplementedError
 
-    def check_end(self) -> None:
+    def check_final_state(self) -> None:
         """Check the world once it has settled."""
         raise NotImplementedError
 
@@ -54,17 +54,17 @@
         """Mend everything, let it settle, check the end."""
         try:
             count("runs of the machine")
-            self.do(self.repair_all)
-            self.let_pass(SETTLE_SECONDS)
-            self.check_end()
+            self.call(self.repair_all_faults)
+            self.advance(SETTLE_SECONDS)
+            self.check_final_state()
         finally:
             self.live.close()
 
-    def do(self, function: Callable[..., object], *arguments: object) -> None:
+    def call(self, function: Callable[..., object], *arguments: object) -> None:
         """Call a function inside the loop."""
         self.live.do(function, *arguments)
 
-    def let_pass(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.live.let_pass(seconds)
 
--- a/tests/world/test_at_most_once.py
+++ b/tests/world/test_at_most_once.py
@@ -2,7 +2,7 @@
 
 import anyio
 from builders import in_world
-from fuzz.faults import ATTEMPTS
+from fuzz.faults import ATTEMPTS_PATH
 
 from briarthread_standins.platform_app import PlatformMode
 from briarthread_standins.world import Answer, World
@@ -20,7 +20,7 @@
 
 def test_lost_answer_is_replayed_without_a_second_run() -> None:
     async def scenario(world: World) -> None:
-        world.network.lose_answers[ATTEMPTS] = 1
+        world.network.lose_answers[ATTEMPTS_PATH] = 1
         answer = await send_booking(world, ENTRIES[0], "k", "one")
         assert answer.status == 200
         assert world.runs("one") == 1
@@ -30,7 +30,7 @@
 
 def test_duplicated_attempt_runs_once() -> None:
     async def scenario(world: World) -> None:
-        world.network.duplicate[ATTEMPTS] = 1
+        world.network.duplicate[ATTEMPTS_PATH] = 1
         await send_booking(world, ENTRIES[0], "k", "one")
         assert world.runs("one") == 1
 
