--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Run a deployment of three data centres and make a booking through it."""
+"""Run a deployment in three data centres and send bookings and streams to it."""
 
 import sys
 import tempfile
@@ -27,30 +27,30 @@
             deployment.apply(TEXT)
             deployment.wait_ready()
             deployment.wait_shares(["diary"], SHARES)
-            good = book(deployment) and stream(deployment)
+            succeeded = book(deployment) and stream(deployment)
         finally:
             deployment.stop()
         codes = set(deployment.exit_codes().values())
         print(f"Stopped; exit codes of all entries and agents: {sorted(codes)}")
-    return 0 if good and codes == {0} else 1
+    return 0 if succeeded and codes == {0} else 1
 
 
 def book(deployment: Deployment) -> bool:
-    """Make one booking, then ask again through another data centre."""
-    answers = []
+    """Send one booking, and repeat it with the same key in another data centre."""
+    bodies = []
     for data_centre in ("palermo", "messina"):
         address = deployment.entry_address(data_centre)
         response = call(address, "diary/bookings", "salon-3", "booking-0001", BOOKING)
         print(f"Booking through {data_centre}: {response.status}")
         print(f"  {response.content.decode()}")
-        answers.append(response.content)
+        bodies.append(response.content)
     runs = sum(
         sum(deployment.get(target, "/standin/runs").values())
         for name, target in deployment.standins.items()
         if name.startswith("diary-")
     )
     print(f"The booking ran {runs} time(s) over all diary targets.")
-    return runs == 1 and answers[0] == answers[1]
+    return runs == 1 and bodies[0] == bodies[1]
 
 
 def stream(deployment: Deployment) -> bool:
@@ -65,7 +65,7 @@
 def call(
     address: str, path: str, account_key: str, key: str | None, body: bytes
 ) -> httpcore.Response:
-    """Send one caller's request."""
+    """Send a request with an account's API key."""
     headers = {"authorization": f"Bearer {account_key}"}
     if key is not None:
         headers["idempotency-key"] = key
--- a/packages/measure/src/briarthread_measure/ablation_run.py
+++ b/packages/measure/src/briarthread_measure/ablation_run.py
@@ -1,5 +1,5 @@
 """
-Leave mechanisms of admission out, one by one, and tell what callers get.
+Disable mechanisms of admission one by one and measure the callers' results.
 
 Usage:
   ablation_run [--seeds=N] [--jobs=N]
@@ -8,9 +8,9 @@
   --seeds=N  Plays of each load, the same seeds for all variants [default: 5].
   --jobs=N   Processes to play with [default: 3].
 
-Each load is played through three entries on a group of six ranks that serves
-16 requests a second in time, in virtual time. The figure is the share of
-requests in time and half of those served late: median (least..largest).
+Each load is simulated in virtual time with three entries and a group of six ranks that
+serves 16 requests per second in time. The result is the share of requests served in
+time plus half the share of those served late: median (min..max).
 """
 
 from dataclasses import replace
@@ -24,7 +24,7 @@
 from briarthread_standins.play_load import play_load
 
 CAPACITY = 16.0
-DAYS = {
+LOADS = {
     "0.6 x": LoadDay(0.6 * CAPACITY),
     "1.5 x": LoadDay(1.5 * CAPACITY),
     "2.5 x": LoadDay(2.5 * CAPACITY),
@@ -33,20 +33,20 @@
     "away 5.5 s": LoadDay(0.6 * CAPACITY, seconds=16.0, outage_seconds=5.5),
     "away 8 s": LoadDay(0.6 * CAPACITY, seconds=18.0, outage_seconds=8.0),
 }
-BY_NAME = {variant.name: variant for variant in VARIANTS}
+VARIANTS_BY_NAME = {variant.name: variant for variant in VARIANTS}
 
 
-def worth_of(run: SimulationRun) -> float:
-    """Return what callers get in one play."""
+def score_of(run: SimulationRun) -> float:
+    """Return the callers' score in one simulation."""
     logger.remove()
-    variant = BY_NAME[run.policy]
+    variant = VARIANTS_BY_NAME[run.policy]
     with variant.applied():
-        return play_load(replace(DAYS[run.load], seed=run.seed), variant.prepare).worth
+        return play_load(replace(LOADS[run.load], seed=run.seed), variant.prepare).worth
 
 
 def main() -> None:
-    """Play everything and print a table."""
-    print_comparison("variant", BY_NAME, DAYS, worth_of, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("variant", VARIANTS_BY_NAME, LOADS, score_of, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/admission_variants.py
+++ b/packages/measure/src/briarthread_measure/admission_variants.py
@@ -1,4 +1,4 @@
-"""Mechanisms of admission, each of which can be left out of a play."""
+"""Variants of admission, each with one mechanism disabled or replaced."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -14,20 +14,20 @@
 from briarthread_standins.play_load import ENTRIES
 
 FIXED_STREAMS = 36
-"""Streams that the fixed limit allows, all entries together: every slot."""
+"""Concurrent streams of all entries under the fixed limit: all slots of the group."""
 INFINITE_SECONDS = float("inf")
 
 
 def leave_unchanged(entry: DirectEntry) -> None:
-    """Leave an entry as it is."""
+    """Leave the entry unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
     """
-    Name a way to play without a mechanism.
+    A variant of admission to simulate.
 
-    ``patches`` replace names of modules or classes while it is played, and
+    ``patches`` replace attributes of modules or classes during the simulation, and
     ``prepare`` changes each entry.
     """
 
@@ -37,7 +37,7 @@
 
     @contextmanager
     def applied(self) -> Iterator[None]:
-        """Have the patches in force."""
+        """Apply the patches within the context."""
         with ExitStack() as stack:
             for owner, name, value in self.patches:
                 stack.enter_context(mock.patch.object(owner, name, value))
@@ -45,69 +45,71 @@
 
 
 def no_limit(entry: DirectEntry) -> None:
-    """Start every request at once."""
+    """Admit every request at once."""
 
-    async def enter(request: DirectRequest) -> None:
+    async def admit_at_once(request: DirectRequest) -> None:
         return
 
-    entry.admission.admit = enter
+    entry.admission.admit = admit_at_once
 
 
 def fixed_limit(entry: DirectEntry) -> None:
-    """Let an entry run its part of a fixed number of streams."""
+    """Limit each entry to an equal share of a fixed number of streams."""
 
-    async def enter(request: DirectRequest) -> None:
+    async def admit_within_limit(request: DirectRequest) -> None:
         running = sum(state.running for state in entry.registry.states.values())
         if running >= FIXED_STREAMS // len(ENTRIES):
-            raise RequestError(ErrorKind.OVERLOADED, "full", retry_after=1.0)
+            raise RequestError(
+                ErrorKind.OVERLOADED, "fixed limit reached", retry_after=1.0
+            )
 
-    entry.admission.admit = enter
+    entry.admission.admit = admit_within_limit
 
 
 def limit_by_slots(entry: DirectEntry) -> None:
-    """Take every slot for room, however long passes get."""
-    room_of = entry.admission._combined_capacity
+    """Count every slot as capacity, however long the passes get."""
+    combined_capacity = entry.admission._combined_capacity
 
-    def room(rooms: GroupCapacities) -> admission_rule.GroupCapacity:
-        return replace(room_of(rooms), limit=FIXED_STREAMS)
+    def all_slots(capacities: GroupCapacities) -> admission_rule.GroupCapacity:
+        return replace(combined_capacity(capacities), limit=FIXED_STREAMS)
 
-    entry.admission._combined_capacity = room
+    entry.admission._combined_capacity = all_slots
 
 
 def no_wait(entry: DirectEntry) -> None:
-    """Let nobody wait for room who can still be in time."""
+    """Refuse at once instead of queueing requests that could still be in time."""
     entry.admission._max_wait = lambda request: 0.0
 
 
 def short_client_retry_wait(entry: DirectEntry) -> None:
-    """Let those who came back wait no longer than others."""
+    """Let client retries wait for capacity no longer than new requests."""
 
-    def wait_until(request: DirectRequest, place: object, patience: float) -> float:
+    def wait_deadline(request: DirectRequest, place: object, patience: float) -> float:
         return request.arrived + patience
 
-    entry.admission._wait_deadline = wait_until
+    entry.admission._wait_deadline = wait_deadline
 
 
 def no_retry_detection(entry: DirectEntry) -> None:
-    """Tell nobody who came back from a new caller."""
+    """Treat client retries as new requests."""
     entry.admission.retry_detector.is_client_retry = lambda route, time_left: False
 
 
 def no_peer_reports(entry: DirectEntry) -> None:
-    """Count what runs from this entry only."""
+    """Count only this entry's running requests, without those of other entries."""
     entry.peer_reports.running_elsewhere = lambda target, now: 0
     entry.peer_reports.total_running_elsewhere = lambda targets, now: 0
 
 
 def shortest_retry_after(time_left: float, pick: float) -> float:
-    """Have everyone come back after the shortest pause."""
+    """Give every refused caller the shortest retry delay, without spreading."""
     return min(admission_rule.MIN_RETRY_AFTER_SECONDS, max(time_left, 0.0))
 
 
 def always_send(
     health: group_health.GroupHealth, now: float, elsewhere: bool = False
 ) -> bool:
-    """Send requests to a group that is away as to any other."""
+    """Send requests to a failed group as to any other."""
     return True
 
 
--- a/packages/measure/src/briarthread_measure/agent_farm.py
+++ b/packages/measure/src/briarthread_measure/agent_farm.py
@@ -4,9 +4,9 @@
 Usage:
   agent_farm FIRST_PORT COUNT CHANGES
 
-CHANGES is how often each agent's load changes a second. Each agent answers
-hello and load as the real one does, by the same code; in an exchange it is
-always as far as the one that asks.
+CHANGES is the number of load changes of each agent per second. Each agent serves hello
+and load with the production code; in an exchange it always reports the versions of the
+caller.
 """
 
 import random
@@ -27,12 +27,12 @@
 from briarthread_common.utils.clock import Clock
 from briarthread_common.utils.hashing import random_id
 
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 MAX_RUNNING = 16
 
 
 class SimulatedAgent:
-    """Hold one agent's load and its routes."""
+    """Simulated agent: its load and its routes."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -47,32 +47,32 @@
             ]
         )
 
-    async def change_load(self, changes: float) -> None:
-        """Change the load so often a second until cancelled."""
-        while changes > 0:
-            await anyio.sleep(self.rng.uniform(0.5, 1.5) / changes)
+    async def change_load(self, changes_per_second: float) -> None:
+        """Change the load ``changes_per_second`` times per second until cancelled."""
+        while changes_per_second > 0:
+            await anyio.sleep(self.rng.uniform(0.5, 1.5) / changes_per_second)
             self.queue.running = self.rng.randrange(MAX_RUNNING)
 
     async def _handle_hello(self, call: Call) -> None:
         await call.reply_json(Hello("farm", self.reporter.incarnation))
 
     async def _handle_exchange(self, call: Call) -> None:
-        heard = await call.read_json(Exchange, LIMIT)
-        await call.reply_json(Exchange(heard.versions))
+        request = await call.read_json(Exchange, MAX_BODY_BYTES)
+        await call.reply_json(Exchange(request.versions))
 
 
 async def _no_drain() -> None:
     return
 
 
-async def run_farm(first_port: int, count: int, changes: float) -> None:
+async def run_farm(first_port: int, count: int, changes_per_second: float) -> None:
     """Serve all agents until a signal stops the process."""
     rng = random.Random(first_port)
     async with anyio.create_task_group() as tasks:
         for number in range(count):
             agent = SimulatedAgent(rng)
             listen = f"127.0.0.1:{first_port + number}"
-            tasks.start_soon(agent.change_load, changes)
+            tasks.start_soon(agent.change_load, changes_per_second)
             server = HttpServer(agent.app, [open_listener(listen)], 1)
             tasks.start_soon(server.run, _no_drain)
 
--- a/packages/measure/src/briarthread_measure/arrival_simulation.py
+++ b/packages/measure/src/briarthread_measure/arrival_simulation.py
@@ -1,4 +1,4 @@
-"""Arrivals at many entries before one group, drawn and played without a network."""
+"""Simulation of random arrivals at many entries of one group, without a network."""
 
 import heapq
 import random
@@ -13,22 +13,22 @@
 from briarthread_entry.direct.target_state import DirectTargetState
 
 STREAM_SECONDS = 1.6
-SETTLED, SECONDS = 5.0, 15.0
-"""From when on arrivals are counted, and until when they come, s."""
+WARMUP_SECONDS, END_SECONDS = 5.0, 15.0
+"""Arrivals count from the first time on and end at the second, in seconds."""
 DATA_CENTRES = ("palermo", "catania", "messina")
-UNEVEN = 0.5
-"""Spread of callers over entries, as the deviation of a log-normal weight."""
+ENTRY_WEIGHT_SIGMA = 0.5
+"""Sigma of the log-normal distribution of callers over entries."""
 
 RankPolicy = Callable[
     [Sequence[DirectTargetState], RunningElsewhere, Mapping[str, int], random.Random],
     DirectTargetState,
 ]
-"""Takes an entry's states, what others have there and its own slots."""
+"""Chooses by an entry's states, the requests of other entries and its own slots."""
 
 
 @dataclass(frozen=True, slots=True)
 class ArrivalLoad:
-    """Arrivals a second before ranks, and the age of what entries know, s."""
+    """Arrivals per second at a group, and the age of entries' reports in seconds."""
 
     entries: int
     ranks: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSnapshot:
-    """What ran at a moment: at each rank, and of it from each entry."""
+    """Running requests at a time: of each rank in total, and from each entry."""
 
     at: float
     running: list[int]
@@ -48,13 +48,13 @@
 
 @dataclass
 class ArrivalSimulation:
-    """Play arrivals that each entry sends where ``choose`` says."""
+    """Simulate arrivals that each entry sends to the rank returned by ``choose``."""
 
     load: ArrivalLoad
     seed: int
     choose: RankPolicy
-    ends: list[tuple[float, int, int]] = field(default_factory=list)
-    seen: deque[LoadSnapshot] = field(default_factory=deque)
+    stream_ends: list[tuple[float, int, int]] = field(default_factory=list)
+    snapshots: deque[LoadSnapshot] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
@@ -68,49 +68,54 @@
             for n in range(load.entries)
         ]
         self.states = [[DirectTargetState(rank) for rank in ranks] for _ in rows]
-        self.home = [assign_slots(row.name, rows, ranks) for row in rows]
+        self.own_slots = [assign_slots(row.name, rows, ranks) for row in rows]
         self.running = [0] * load.ranks
-        self.weights = [self.rng.lognormvariate(0, UNEVEN) for _ in rows]
+        self.weights = [self.rng.lognormvariate(0, ENTRY_WEIGHT_SIGMA) for _ in rows]
 
     def full_rank_share(self) -> float:
-        """Return the part of arrivals that have to wait for a slot."""
-        now, met, asked = 0.0, 0, 0
-        while now < SECONDS:
+        """Return the share of arrivals that have to wait for a slot."""
+        now, full, arrivals = 0.0, 0, 0
+        while now < END_SECONDS:
             now += self.rng.expovariate(self.load.rate)
             self._end_streams(now)
-            self._look(now)
+            self._take_snapshot(now)
             entry = self.rng.choices(range(self.load.entries), self.weights)[0]
             rank = self._choose(entry)
-            if now > SETTLED:
-                asked += 1
-                met += self.running[rank] >= self.load.slots
+            if now > WARMUP_SECONDS:
+                arrivals += 1
+                full += self.running[rank] >= self.load.slots
             self._start(entry, rank, now)
-        return met / asked
+        return full / arrivals
 
-    def _look(self, now: float) -> None:
+    def _take_snapshot(self, now: float) -> None:
         own = [[state.running for state in states] for states in self.states]
-        self.seen.append(LoadSnapshot(now, list(self.running), own))
-        while len(self.seen) > 1 and self.seen[1].at <= now - self.load.report_age:
-            self.seen.popleft()
+        self.snapshots.append(LoadSnapshot(now, list(self.running), own))
+        while (
+            len(self.snapshots) > 1
+            and self.snapshots[1].at <= now - self.load.report_age
+        ):
+            self.snapshots.popleft()
 
     def _choose(self, entry: int) -> int:
-        seen = self.seen[0]
+        snapshot = self.snapshots[0]
         others = {
-            f"r{n}": seen.running[n] - seen.own[entry][n]
+            f"r{n}": snapshot.running[n] - snapshot.own[entry][n]
             for n in range(self.load.ranks)
         }
         states = self.states[entry]
-        found = self.choose(states, others.__getitem__, self.home[entry], self.rng)
-        return states.index(found)
+        chosen = self.choose(
+            states, others.__getitem__, self.own_slots[entry], self.rng
+        )
+        return states.index(chosen)
 
     def _start(self, entry: int, rank: int, now: float) -> None:
         self.running[rank] += 1
         self.states[entry][rank].running += 1
         seconds = STREAM_SECONDS * self.rng.uniform(0.8, 1.2)
-        heapq.heappush(self.ends, (now + seconds, entry, rank))
+        heapq.heappush(self.stream_ends, (now + seconds, entry, rank))
 
     def _end_streams(self, now: float) -> None:
-        while self.ends and self.ends[0][0] <= now:
-            _, entry, rank = heapq.heappop(self.ends)
+        while self.stream_ends and self.stream_ends[0][0] <= now:
+            _, entry, rank = heapq.heappop(self.stream_ends)
             self.running[rank] -= 1
             self.states[entry][rank].running -= 1
--- a/packages/measure/src/briarthread_measure/bare_relay.py
+++ b/packages/measure/src/briarthread_measure/bare_relay.py
@@ -1,5 +1,5 @@
 """
-Relay calls with uvicorn and httpcore and no logic, as a yardstick.
+Relay calls with uvicorn and httpcore and no further logic, as a baseline.
 
 Usage:
   bare_relay LISTEN TARGET
@@ -13,12 +13,12 @@
 from briarthread_common.http.http_channel import HttpChannel
 from briarthread_standins.run_standin import run_standin
 
-LIMIT = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 STREAM_TYPE = "text/event-stream"
 
 
 class BareRelay:
-    """Pass each call on to one address and its answer back."""
+    """Forward each call to one address and relay its response."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -26,12 +26,12 @@
         self.app = App([Route("*", "/", self._handle)])
 
     async def _handle(self, call: Call) -> None:
-        body = await call.read_body(LIMIT)
+        body = await call.read_body(MAX_BODY_BYTES)
         request = ChannelRequest(call.method, self.target, call.path, (), body)
         async with self.channel.stream(request) as response:
-            kind = response.headers.get("content-type", "")
-            headers = [("content-type", kind)]
-            if kind.startswith(STREAM_TYPE):
+            content_type = response.headers.get("content-type", "")
+            headers = [("content-type", content_type)]
+            if content_type.startswith(STREAM_TYPE):
                 await call.start(response.status, headers)
                 async for chunk in response.body:
                     await call.send_chunk(chunk)
--- a/packages/measure/src/briarthread_measure/choice_run.py
+++ b/packages/measure/src/briarthread_measure/choice_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to choose a rank where many entries choose at the same time.
+Compare policies that choose a rank when many entries choose at the same time.
 
 Usage:
   choice_run [--seeds=N] [--jobs=N]
@@ -8,8 +8,8 @@
   --seeds=N  Plays of each load, the same seeds for all ways [default: 3].
   --jobs=N   Processes to play with [default: 3].
 
-Arrivals are drawn; what an entry knows of the others is as old as reports are.
-The figure is the part of arrivals that meet a full rank: median (least..largest).
+Arrivals are random, and an entry's information about the others is as old as reports
+are. The result is the share of arrivals at a full rank: median (min..max).
 """
 
 import random
@@ -30,62 +30,65 @@
     ),
 }
 States = Sequence[DirectTargetState]
-Home = Mapping[str, int]
+OwnSlots = Mapping[str, int]
+"""Number of slots of each rank that are assigned to the entry."""
 
 
 def least_loaded(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose among the ranks with the least running."""
-    return rng.choice(_least(states, elsewhere))
+    """Choose a random rank among those with the fewest running requests."""
+    return rng.choice(_least_loaded_ranks(states, elsewhere))
 
 
 def own_among_least(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose among the ranks with the least running, own slots first."""
-    least = _least(states, elsewhere)
-    own = [s for s in least if s.running < home.get(s.target.name, 0)]
-    return rng.choice(own or least)
+    """Choose among the ranks with the fewest running requests, own slots first."""
+    least = _least_loaded_ranks(states, elsewhere)
+    with_own_slots = [s for s in least if s.running < own_slots.get(s.target.name, 0)]
+    return rng.choice(with_own_slots or least)
 
 
-def by_what_is_free(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+def weighted_by_free_slots(
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose by chance, weighed by what is free, as an entry without own slots."""
+    """Choose a random rank, weighted by free slots, as an entry without own slots."""
     return own_slots_first(states, elsewhere, {}, rng)
 
 
 def own_slots_first(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose as an entry does."""
-    found = choose_rank(states, elsewhere, home, 0.0, rng)
-    if found is None:
+    """Choose as the entry does in production."""
+    chosen = choose_rank(states, elsewhere, own_slots, 0.0, rng)
+    if chosen is None:
         raise ValueError("there are no ranks to choose from")
-    return found
+    return chosen
 
 
 POLICIES = {
     "least running, by chance among equals": least_loaded,
     "the same, own slots first among equals": own_among_least,
-    "by chance, weighed by what is free": by_what_is_free,
+    "by chance, weighed by what is free": weighted_by_free_slots,
     "own slots first, then by what is free": own_slots_first,
 }
 
 
-def share_of(run: SimulationRun) -> float:
-    """Return the part of arrivals that meet a full rank in one play."""
-    day = ArrivalSimulation(LOADS[run.load], run.seed, POLICIES[run.policy])
-    return day.full_rank_share()
+def measure_full_rank_share(run: SimulationRun) -> float:
+    """Return the share of arrivals at a full rank in one simulation."""
+    simulation = ArrivalSimulation(LOADS[run.load], run.seed, POLICIES[run.policy])
+    return simulation.full_rank_share()
 
 
 def main() -> None:
-    """Play everything and print a table."""
-    print_comparison("way", POLICIES, LOADS, share_of, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("way", POLICIES, LOADS, measure_full_rank_share, docopt(__doc__))
 
 
-def _least(states: States, elsewhere: RunningElsewhere) -> list[DirectTargetState]:
+def _least_loaded_ranks(
+    states: States, elsewhere: RunningElsewhere
+) -> list[DirectTargetState]:
     loads = [state.running + elsewhere(state.target.name) for state in states]
     least = min(loads)
     return [s for s, load in zip(states, loads, strict=True) if load == least]
--- a/packages/measure/src/briarthread_measure/comparison_table.py
+++ b/packages/measure/src/briarthread_measure/comparison_table.py
@@ -1,4 +1,4 @@
-"""A table of ways by loads, each played with the same seeds."""
+"""Table that compares policies under several loads, with the same seeds for all."""
 
 from collections.abc import Callable, Collection, Mapping
 from concurrent.futures import ProcessPoolExecutor
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimulationRun:
-    """One play: the names of the way and of the load, and the seed."""
+    """Name of the policy, name of the load and seed of one simulation."""
 
     policy: str
     load: str
@@ -24,10 +24,10 @@
     arguments: Mapping[str, str],
 ) -> None:
     """
-    Play everything and print a line for each way: median (least..largest).
+    Run all simulations and print a row for each policy: median (min..max).
 
-    ``arguments`` are a command line's: ``--seeds`` plays of each, ``--jobs``
-    processes to play with. ``figure`` runs in those.
+    ``arguments`` are those of the command line: ``--seeds`` simulations of each
+    policy and load, in ``--jobs`` worker processes, which call ``measure``.
     """
     seeds = range(1, int(arguments["--seeds"]) + 1)
     print(f"| {title} |", " | ".join(loads), "|")
--- a/packages/measure/src/briarthread_measure/control_run.py
+++ b/packages/measure/src/briarthread_measure/control_run.py
@@ -1,5 +1,5 @@
 """
-Measure what control costs a real entry at full size, and by its parts.
+Measure the control overhead of a real entry at full size, and of its parts.
 
 Usage:
   control_run [--seconds=N] [PART]
@@ -9,10 +9,10 @@
 
 PART is workers, texts, exchanges, agents or full; all of them by default.
 
-Each run starts the platform stand-in, a farm of agents and one entry that
-knows 490 entries, 1,300 workers, 4,200 accounts, 31 services and their
-shares. All traffic on loopback is the entry's own, so the interface's counter
-gives its bytes with all headers.
+Each run starts the platform stand-in, a farm of agents and one entry that knows 490
+entries, 1,300 workers, 4,200 accounts, 31 services and their shares. All traffic on
+loopback belongs to the entry, so the counter of the interface gives its bytes with all
+headers.
 """
 
 import subprocess
@@ -49,47 +49,47 @@
 PLATFORM = "127.0.0.1:19000"
 ENTRY = "127.0.0.1:19001"
 FARM_PORT = 19100
-SETTLE_SECONDS = 6.0
+STABILISATION_SECONDS = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Describe a run: sizes, and how often things happen a second."""
+    """Sizes of a run, and rates of its events per second."""
 
     agents: int = AGENTS
     accounts: int = ACCOUNTS
     load_changes: float = 1.0
     text_changes: float = 0.0
     exchanges: float = 0.25
-    on_duty: bool = False
+    polls_platform: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Hold what the entry used: parts of a core, bytes, bytes a second."""
+    """CPU cores, resident bytes, network bytes per second and reads per second."""
 
-    core: float
+    cores: float
     rss: int
-    wire: float
-    reads: float
+    bytes_per_second: float
+    reads_per_second: float
 
 
 def post(address: str, path: str, message: object) -> object:
-    """Send JSON and return the decoded answer."""
+    """Send JSON and return the decoded response."""
     body = msgspec.json.encode(message)
     response = httpcore.request("POST", f"http://{address}{path}", content=body)
     return msgspec.json.decode(response.content)
 
 
-def entry_name(on_duty: bool) -> str:
-    """Return the name of an entry that polls the platform, or does not."""
+def entry_name(polls_platform: bool) -> str:
+    """Return the name of an entry that polls the platform, or of one that does not."""
     names = [f"entry-{n}" for n in range(ENTRIES) if data_centre_name(n) == "dc-0"]
     order = rendezvous_order("poll", names)
-    return order[0] if on_duty else order[-1]
+    return order[0] if polls_platform else order[-1]
 
 
 def fill_platform(load: Load) -> None:
-    """Put text, shares and instances into the platform stand-in."""
+    """Write text, shares and instances to the platform stand-in."""
     feeds = {
         "text": text_sections(load.accounts),
         "shares": share_items(SERVICES),
@@ -105,18 +105,18 @@
     items = instance_items(ENTRIES, load.agents, addresses)
     rows = [msgspec.json.decode(raw) for raw in items.values()]
     for row in rows:
-        if row["name"] == entry_name(load.on_duty):
+        if row["name"] == entry_name(load.polls_platform):
             row["address"] = ENTRY
     post(PLATFORM, "/standin/instances", {"put": rows})
 
 
 def farm_size(load: Load) -> int:
-    """Return how many agents of the list really answer."""
+    """Return the number of listed agents that the farm really serves."""
     return min(load.agents // 8, 163)
 
 
 def change_text(number: int) -> None:
-    """Change one account, as an accepted text does, and tell the entry."""
+    """Send the entry a patch of one account, as an accepted text causes it."""
     header = f"account client-{number % ACCOUNTS}"
     section = account_section(number % ACCOUNTS, 100 + number)
     patch = {
@@ -129,8 +129,8 @@
     post(ENTRY, "/peer/v1/exchange", {"versions": versions, "patches": [patch]})
 
 
-def drive(load: Load, seconds: float) -> None:
-    """Send the text changes and peers' exchanges of a while."""
+def send_events(load: Load, seconds: float) -> None:
+    """Send text changes and peers' exchanges for some seconds."""
     end = time.monotonic() + seconds
     changes = 0
     versions = {"text": 1, "instances": 1, "shares": 1}
@@ -149,9 +149,9 @@
 
 
 def run(load: Load, seconds: float) -> Cost:
-    """Start everything, watch the entry for a while, stop everything."""
+    """Start all processes, measure the entry for some seconds, and stop them."""
     with tempfile.TemporaryDirectory() as folder:
-        handles = [start("platform_app", PLATFORM)]
+        handles = [start_standin("platform_app", PLATFORM)]
         wait_until(lambda: get_counts(), "platform")
         fill_platform(load)
         handles.append(start_farm(load))
@@ -159,49 +159,49 @@
             entry = start_entry(Path(folder), load)
             handles.append(entry)
             wait_until(entry_is_ready, "entry")
-            time.sleep(SETTLE_SECONDS)
-            return watch(entry.pid, load, seconds)
+            time.sleep(STABILISATION_SECONDS)
+            return measure(entry.pid, load, seconds)
         finally:
             for handle in reversed(handles):
                 handle.kill()
                 handle.wait()
 
 
-def watch(pid: int, load: Load, seconds: float) -> Cost:
-    """Return the entry's costs over a while."""
-    reads = get_counts()["reads"]
-    before, wire = read_usage(pid), loopback_bytes()
+def measure(pid: int, load: Load, seconds: float) -> Cost:
+    """Return the costs of a process over some seconds under load."""
+    reads_before = get_counts()["reads"]
+    before, bytes_before = read_usage(pid), loopback_bytes()
     started = time.monotonic()
-    drive(load, seconds)
-    took = time.monotonic() - started
+    send_events(load, seconds)
+    elapsed = time.monotonic() - started
     after = read_usage(pid)
     return Cost(
-        (after.cpu - before.cpu) / took,
+        (after.cpu - before.cpu) / elapsed,
         after.rss,
-        (loopback_bytes() - wire) / took,
-        (get_counts()["reads"] - reads) / took,
+        (loopback_bytes() - bytes_before) / elapsed,
+        (get_counts()["reads"] - reads_before) / elapsed,
     )
 
 
 def get_counts() -> dict[str, int]:
-    """Return the counts of the platform stand-in."""
+    """Return the call counts of the platform stand-in."""
     response = httpcore.request("GET", f"http://{PLATFORM}/standin/counts")
     return msgspec.json.decode(response.content)
 
 
 def entry_is_ready() -> bool:
-    """Tell whether the entry is ready."""
+    """Return whether the entry is ready."""
     return httpcore.request("GET", f"http://{ENTRY}/readyz").status == 200
 
 
-def start(module: str, address: str) -> subprocess.Popen:
+def start_standin(module: str, address: str) -> subprocess.Popen:
     """Start a stand-in."""
-    return run_quietly(f"briarthread_standins.{module}", address)
+    return start_module(f"briarthread_standins.{module}", address)
 
 
 def start_farm(load: Load) -> subprocess.Popen:
     """Start the farm of agents."""
-    return run_quietly(
+    return start_module(
         "briarthread_measure.agent_farm",
         str(FARM_PORT),
         str(farm_size(load)),
@@ -209,8 +209,8 @@
     )
 
 
-def run_quietly(module: str, *arguments: str) -> subprocess.Popen:
-    """Start a module whose output nobody needs."""
+def start_module(module: str, *arguments: str) -> subprocess.Popen:
+    """Start a module and discard its output."""
     return subprocess.Popen(
         [sys.executable, "-m", module, *arguments],
         stdout=subprocess.DEVNULL,
@@ -222,7 +222,7 @@
     """Start the entry under test."""
     settings = folder / "entry.ini"
     settings.write_text(
-        f"[instance]\nname = {entry_name(load.on_duty)}\ndata_centre = dc-0\n"
+        f"[instance]\nname = {entry_name(load.polls_platform)}\ndata_centre = dc-0\n"
         f"listen = {ENTRY}\n[platform]\naddresses = {PLATFORM}\n"
         "[logs]\nlevel = ERROR\n",
         encoding="utf-8",
@@ -230,19 +230,19 @@
     return subprocess.Popen([*program("briarthread"), "serve", str(settings)])
 
 
-def show(name: str, cost: Cost) -> None:
-    """Print one run."""
+def print_cost(name: str, cost: Cost) -> None:
+    """Print the costs of one run."""
     print(
-        f"{name:34} {cost.core * 100:6.2f} % core {cost.rss / 1e6:6.1f} MB "
-        f"{cost.wire:8.0f} B/s {cost.reads * 3600:8.0f} reads/h",
+        f"{name:34} {cost.cores * 100:6.2f} % core {cost.rss / 1e6:6.1f} MB "
+        f"{cost.bytes_per_second:8.0f} B/s {cost.reads_per_second * 3600:8.0f} reads/h",
         flush=True,
     )
 
 
-def slope(name: str, unit: str, sizes: list[float], costs: list[Cost]) -> None:
-    """Print the slopes of core and wire over some sizes."""
-    core = fit_line(sizes, [cost.core for cost in costs])
-    wire = fit_line(sizes, [cost.wire for cost in costs])
+def print_slopes(name: str, unit: str, sizes: list[float], costs: list[Cost]) -> None:
+    """Print the slopes of CPU and network use over some sizes."""
+    core = fit_line(sizes, [cost.cores for cost in costs])
+    wire = fit_line(sizes, [cost.bytes_per_second for cost in costs])
     print(
         f"slope {name}: {core.slope * 1e6:.0f} us core and {wire.slope:.0f} B "
         f"{unit}; residual {core.residual:.2f} and {wire.residual:.2f}",
@@ -251,47 +251,47 @@
 
 
 def run_workers(seconds: float) -> None:
-    """Measure by the number of workers on the list."""
+    """Measure with different numbers of listed workers."""
     costs = []
     agents = [0, 240, 480, 720, AGENTS]
     for count in agents:
         costs.append(run(Load(agents=count), seconds))
-        show(f"{count} workers listed", costs[-1])
-    slope("workers", "a worker listed", [float(n) for n in agents], costs)
+        print_cost(f"{count} workers listed", costs[-1])
+    print_slopes("workers", "a worker listed", [float(n) for n in agents], costs)
 
 
 def run_texts(seconds: float) -> None:
-    """Measure by the rate of text changes."""
+    """Measure with different rates of text changes."""
     rates = [0.0, 1.0, 2.0, 4.0]
     costs = [run(Load(agents=0, text_changes=rate), seconds) for rate in rates]
     for rate, cost in zip(rates, costs, strict=True):
-        show(f"{rate:g} text changes a second", cost)
-    slope("text changes", "a change", rates, costs)
+        print_cost(f"{rate:g} text changes a second", cost)
+    print_slopes("text changes", "a change", rates, costs)
 
 
 def run_exchanges(seconds: float) -> None:
-    """Measure by the rate of peers' exchanges."""
+    """Measure with different rates of peers' exchanges."""
     rates = [0.0, 2.0, 4.0, 8.0]
     costs = [run(Load(agents=0, exchanges=rate), seconds) for rate in rates]
     for rate, cost in zip(rates, costs, strict=True):
-        show(f"{rate:g} exchanges a second", cost)
-    slope("exchanges", "an exchange", rates, costs)
+        print_cost(f"{rate:g} exchanges a second", cost)
+    print_slopes("exchanges", "an exchange", rates, costs)
 
 
 def run_agents(seconds: float) -> None:
-    """Measure an agent at full size by the number of entries that watch it."""
+    """Measure an agent at full size with different numbers of watching entries."""
     counts = [0, 8, 16, 32, 64]
     costs = [run_agent(count, seconds) for count in counts]
     for count, cost in zip(counts, costs, strict=True):
-        show(f"agent, {count} entries watch", cost)
-    slope("watchers", "a watcher", [float(n) for n in counts], costs)
+        print_cost(f"agent, {count} entries watch", cost)
+    print_slopes("watchers", "a watcher", [float(n) for n in counts], costs)
 
 
 def run_agent(watchers: int, seconds: float) -> Cost:
-    """Start an agent at the address of the entry and watch it for a while."""
+    """Start an agent at the entry's address and measure it for some seconds."""
     load = Load()
     with tempfile.TemporaryDirectory() as folder:
-        handles = [start("platform_app", PLATFORM)]
+        handles = [start_standin("platform_app", PLATFORM)]
         wait_until(get_counts, "platform")
         fill_platform(load)
         handles.append(start_farm(load))
@@ -300,8 +300,8 @@
             handles.append(agent)
             wait_until(entry_is_ready, "agent")
             handles.append(start_watchers(watchers))
-            time.sleep(SETTLE_SECONDS)
-            return watch(agent.pid, load, seconds)
+            time.sleep(STABILISATION_SECONDS)
+            return measure(agent.pid, load, seconds)
         finally:
             for handle in reversed(handles):
                 handle.kill()
@@ -322,22 +322,23 @@
 
 
 def start_watchers(count: int) -> subprocess.Popen:
-    """Start the streams of the entries that watch the agent."""
+    """Start the load streams of the entries that watch the agent."""
     command = [sys.executable, "-m", "briarthread_measure.load_watchers"]
-    every = str(report_interval(MAX_WATCHED))
-    return subprocess.Popen([*command, ENTRY, str(count), every])
+    interval = str(report_interval(MAX_WATCHED))
+    return subprocess.Popen([*command, ENTRY, str(count), interval])
 
 
 def run_full(seconds: float) -> None:
-    """Measure all of it at full size."""
-    show("full size, not on poll duty", run(Load(text_changes=0.066), seconds))
-    show(
-        "full size, on poll duty", run(Load(text_changes=0.066, on_duty=True), seconds)
+    """Measure the entry at full size, with and without polling the platform."""
+    print_cost("full size, not on poll duty", run(Load(text_changes=0.066), seconds))
+    print_cost(
+        "full size, on poll duty",
+        run(Load(text_changes=0.066, polls_platform=True), seconds),
     )
 
 
 def main() -> None:
-    """Run all and print the table."""
+    """Run the requested parts and print their results."""
     arguments = docopt(__doc__)
     seconds = float(arguments["--seconds"])
     parts = {
--- a/packages/measure/src/briarthread_measure/crash_run.py
+++ b/packages/measure/src/briarthread_measure/crash_run.py
@@ -1,5 +1,5 @@
 """
-Play a request that crashes its targets, and print who got what, in virtual time.
+Simulate a request that crashes its targets, in virtual time, and print the results.
 
 Usage:
   crash_run [--stable=S]
@@ -7,8 +7,9 @@
 Options:
   --stable=S  Seconds after the third crash from which on arrivals count [default: 3].
 
-Each line gives the crashes, the arrivals of that request at targets from some seconds
-after its third crash on, and of the requests beside it how many were served and asked.
+Each row gives the number of crashes, the arrivals of that request at targets from
+``--stable`` seconds after its third crash on, and how many of the other requests were
+served.
 """
 
 from docopt import docopt
@@ -19,16 +20,19 @@
 
 
 def main() -> None:
-    """Play each day once and print a table."""
+    """Run each scenario once and print a table."""
     logger.remove()
-    stable = float(docopt(__doc__)["--stable"])
+    stable_seconds = float(docopt(__doc__)["--stable"])
     print("| play | crashes | arrivals later | served beside it |")
     print("| --- | --- | --- | --- |")
-    for name, day in CRASHING.items():
-        tally = play_crashes(day)
-        later = tally.arrivals_after(3, stable)
-        served = f"{tally.statuses[200]} of {sum(tally.statuses.values())}"
-        print(f"| {name} | {len(tally.crashes)} | {later} | {served} |", flush=True)
+    for name, scenario in CRASHING.items():
+        results = play_crashes(scenario)
+        late_arrivals = results.arrivals_after(3, stable_seconds)
+        served = f"{results.statuses[200]} of {sum(results.statuses.values())}"
+        print(
+            f"| {name} | {len(results.crashes)} | {late_arrivals} | {served} |",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/expert_moves.py
+++ b/packages/measure/src/briarthread_measure/expert_moves.py
@@ -1,5 +1,5 @@
 """
-Compare when to move experts over a day of drift, in virtual time.
+Compare policies for moving experts over a day of drifting demand, in virtual time.
 
 Usage:
   expert_moves [--seeds=N] [--hours=N]
@@ -8,9 +8,9 @@
   --seeds=N  Number of seeds, one day each [default: 5].
   --hours=N  Length of a day [default: 24].
 
-Popularity is log-normal and drifts by a random walk, with a jump of a few
-experts now and then. Skew is the time of a step over that of an even one.
-Loading an expert takes its bytes over the group's part of the weight store.
+Popularity is log-normal and follows a random walk, with occasional jumps of a few
+experts. Skew is the duration of a step over that of a balanced step. Loading an expert
+takes its size divided by the group's share of the weight store's bandwidth.
 """
 
 import math
@@ -29,24 +29,24 @@
 from briarthread_common.text.objective import Objective
 
 RANKS, EXPERTS, SLOTS, LAYERS = 32, 256, 9, 2
-MINUTE = 60.0
-HOUR_MINUTES = 60
-SPREAD = 0.8
-DRIFT = 0.03
+MINUTE_SECONDS = 60.0
+MINUTES_PER_HOUR = 60
+POPULARITY_SIGMA = 0.8
+DRIFT_SIGMA_PER_MINUTE = 0.03
 JUMP_CHANCE = 0.01
 JUMP_EXPERTS = 8
-TOKENS = 200_000
+TOKENS_PER_MINUTE = 200_000
 EXPERT_BYTES = 44_040_192
-STORE_BYTES = 500e6
-"""Bytes a second that a group gets of the rate-limited weight store."""
-LOAD_SECONDS = EXPERT_BYTES / STORE_BYTES
+STORE_BYTES_PER_SECOND = 500e6
+"""Bandwidth of a group at the rate-limited weight store, in bytes per second."""
+EXPERT_LOAD_SECONDS = EXPERT_BYTES / STORE_BYTES_PER_SECOND
 
 Policy = Callable[[int, ExpertMap, list[list[float]]], ExpertMap | None]
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyResults:
-    """Hold what a policy made of a day."""
+    """Skew of each minute, experts moved, and map changes of a simulated day."""
 
     skews: list[float]
     moved: int
@@ -54,77 +54,80 @@
 
 
 class DriftingPopularity:
-    """Give token counts by the minute, from a drifting popularity."""
+    """Token counts for each minute, drawn from a drifting expert popularity."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.logs = [
-            [self.rng.gauss(0, SPREAD) for _ in range(EXPERTS)] for _ in range(LAYERS)
+        self.log_weights = [
+            [self.rng.gauss(0, POPULARITY_SIGMA) for _ in range(EXPERTS)]
+            for _ in range(LAYERS)
         ]
 
     def next_minute(self) -> list[list[int]]:
-        """Drift for a minute and return the tokens of each expert in it."""
-        for layer in self.logs:
+        """Advance by a minute and return the tokens of each expert in it."""
+        for layer in self.log_weights:
             for expert in range(EXPERTS):
-                layer[expert] = layer[expert] * 0.9995 + self.rng.gauss(0, DRIFT)
+                layer[expert] = layer[expert] * 0.9995 + self.rng.gauss(
+                    0, DRIFT_SIGMA_PER_MINUTE
+                )
             if self.rng.random() < JUMP_CHANCE:
                 for expert in self.rng.sample(range(EXPERTS), JUMP_EXPERTS):
                     layer[expert] += 1.0
-        return [self._tokens(layer) for layer in self.logs]
+        return [self._tokens(layer) for layer in self.log_weights]
 
     def _tokens(self, layer: list[float]) -> list[int]:
         weights = [math.exp(value) for value in layer]
         total = sum(weights)
-        return [round(TOKENS * weight / total) for weight in weights]
+        return [round(TOKENS_PER_MINUTE * weight / total) for weight in weights]
 
 
 def simulate_day(seed: int, hours: int, policy: Policy) -> PolicyResults:
-    """Run a policy over a day; it sees the decayed counts, not the drift."""
-    drift = DriftingPopularity(seed)
+    """Simulate a day; the policy sees the decayed counts, not the true popularity."""
+    demand = DriftingPopularity(seed)
     popularity = Popularity(LAYERS, EXPERTS)
-    present = even_map(1, LAYERS, EXPERTS, RANKS)
+    current = even_map(1, LAYERS, EXPERTS, RANKS)
     skews: list[float] = []
     moved = moves = 0
-    for minute in range(hours * HOUR_MINUTES):
-        tokens = drift.next_minute()
-        skews.append(map_skew(present, tokens))
-        popularity.add(minute * MINUTE, tokens)
-        new = policy(minute, present, popularity.counts)
+    for minute in range(hours * MINUTES_PER_HOUR):
+        tokens = demand.next_minute()
+        skews.append(map_skew(current, tokens))
+        popularity.add(minute * MINUTE_SECONDS, tokens)
+        new = policy(minute, current, popularity.counts)
         if new is not None:
-            moved += moved_experts(present, new)
+            moved += moved_experts(current, new)
             moves += 1
-            present = new
+            current = new
     return PolicyResults(skews, moved, moves)
 
 
-def never(minute: int, present: ExpertMap, counts: list[list[float]]) -> None:
-    """Never move."""
+def never_move(minute: int, current: ExpertMap, counts: list[list[float]]) -> None:
+    """Keep the map."""
 
 
 def place_every(minutes: int) -> Policy:
-    """Place everything anew each so many minutes."""
+    """Return a policy that recomputes the whole placement at a fixed interval."""
 
     def policy(
-        minute: int, present: ExpertMap, counts: list[list[float]]
+        minute: int, current: ExpertMap, counts: list[list[float]]
     ) -> ExpertMap | None:
         if minute % minutes:
             return None
-        return place_experts(present.version + 1, counts, RANKS, SLOTS)
+        return place_experts(current.version + 1, counts, RANKS, SLOTS)
 
     return policy
 
 
 def apply_move_rule(skew_weight: float, rebalance_weight: float) -> Policy:
-    """Move by the rule, looking every five minutes."""
+    """Return a policy that applies the move rule every five minutes."""
     objective = Objective(skew_weight, rebalance_weight)
 
     def policy(
-        minute: int, present: ExpertMap, counts: list[list[float]]
+        minute: int, current: ExpertMap, counts: list[list[float]]
     ) -> ExpertMap | None:
         if minute % 5:
             return None
         decision = decide_move(
-            present.version + 1, present, counts, SLOTS, LOAD_SECONDS, objective
+            current.version + 1, current, counts, SLOTS, EXPERT_LOAD_SECONDS, objective
         )
         return decision.expert_map if isinstance(decision, MapMove) else None
 
@@ -132,7 +135,7 @@
 
 
 POLICIES: dict[str, Policy] = {
-    "never": never,
+    "never": never_move,
     "every hour, all anew": place_every(60),
     "every minute, all anew": place_every(1),
     "rule, Caruso 4:1": apply_move_rule(4, 1),
@@ -140,20 +143,20 @@
 }
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return the value below which a part of the values lies."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value below which a fraction of the values lies."""
     ordered = sorted(values)
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
 
 
-def format_median_range(values: list[float], form: str) -> str:
-    """Return the median of some values with the least and the largest."""
+def format_median_range(values: list[float], format_spec: str) -> str:
+    """Format the median of some values with their minimum and maximum."""
     low, middle, high = min(values), median(values), max(values)
-    return f"{middle:{form}} ({low:{form}}..{high:{form}})"
+    return f"{middle:{format_spec}} ({low:{format_spec}}..{high:{format_spec}})"
 
 
 def main() -> None:
-    """Print a line a policy: skew, bytes moved, moves; median (min..max)."""
+    """Print skew, bytes moved and map changes of each policy: median (min..max)."""
     arguments = docopt(__doc__)
     seeds, hours = int(arguments["--seeds"]), int(arguments["--hours"])
     for name, policy in POLICIES.items():
@@ -161,11 +164,11 @@
         p50 = format_median_range([percentile(day.skews, 0.5) for day in days], ".3f")
         p95 = format_median_range([percentile(day.skews, 0.95) for day in days], ".3f")
         p99 = format_median_range([percentile(day.skews, 0.99) for day in days], ".3f")
-        scaled = [day.moved * EXPERT_BYTES / 1e12 for day in days]
+        terabytes = [day.moved * EXPERT_BYTES / 1e12 for day in days]
         moves = format_median_range([float(day.moves) for day in days], ".0f")
         print(
             f"{name:24} skew p50 {p50} p95 {p95} p99 {p99} "
-            f"TB moved {format_median_range(scaled, '.3f')} moves {moves}",
+            f"TB moved {format_median_range(terabytes, '.3f')} moves {moves}",
             flush=True,
         )
 
--- a/packages/measure/src/briarthread_measure/full_size.py
+++ b/packages/measure/src/briarthread_measure/full_size.py
@@ -1,4 +1,4 @@
-"""Builders of state at the size that the system has to reach."""
+"""Builders of state at the largest size that the system has to support."""
 
 import msgspec
 
@@ -31,8 +31,8 @@
 
 
 def text_sections(accounts: int, services: int = SERVICES) -> dict[str, str]:
-    """Return the sections of a services text with so many accounts."""
-    listed = ", ".join(data_centre_name(n) for n in range(DATA_CENTRES))
+    """Return the sections of a services text with the given numbers of items."""
+    data_centres = ", ".join(data_centre_name(n) for n in range(DATA_CENTRES))
     sections = {
         f"data_centre {data_centre_name(n)}": (
             f"[data_centre {data_centre_name(n)}]\nregion = region-{n % REGIONS}\n"
@@ -41,14 +41,14 @@
     }
     for n in range(services):
         header = f"service {service_name(n)}"
-        sections[header] = f"[{header}]\nkind = engine\ndata_centres = {listed}\n"
+        sections[header] = f"[{header}]\nkind = engine\ndata_centres = {data_centres}\n"
     for n in range(accounts):
         sections[f"account client-{n}"] = account_section(n, 100)
     return sections
 
 
 def account_section(number: int, rate: int) -> str:
-    """Return the section of one account."""
+    """Return the section of an account."""
     return (
         f"[account client-{number}]\nkeys = {key_digest(f'client-{number}')}\n"
         f"home = {data_centre_name(number)}\nrate = {rate}\nweight = 1\n"
@@ -56,7 +56,7 @@
 
 
 def instance_items(entries: int, agents: int, addresses: list[str]) -> dict[str, str]:
-    """Return the instance list; instances share the given addresses."""
+    """Return the items of the instance list, which share the given addresses."""
     items = {}
     for n in range(entries):
         name = f"entry-{n}"
@@ -78,7 +78,7 @@
 
 
 def share_items(services: int, shares: int = SHARES) -> dict[str, str]:
-    """Return the share rows of all data centres."""
+    """Return the share rows of all services and data centres."""
     items = {}
     for service in range(services):
         for data_centre in range(DATA_CENTRES):
@@ -98,5 +98,5 @@
 
 
 def snapshot_patch(feed: str, items: dict[str, str], number: int = 1) -> FeedPatch:
-    """Return a whole patch of a feed."""
+    """Return a patch that replaces all items of a feed."""
     return FeedPatch(feed, SNAPSHOT_BASE, number, dict(items))
--- a/packages/measure/src/briarthread_measure/group_choice_run.py
+++ b/packages/measure/src/briarthread_measure/group_choice_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to choose one of several lock-step groups.
+Compare policies that choose one of several lock-step groups.
 
 Usage:
   group_choice_run [--seeds=N] [--jobs=N]
@@ -8,9 +8,9 @@
   --seeds=N  Plays of each load and way [default: 4].
   --jobs=N   Processes at a time [default: 4].
 
-Real entries and stand-in ranks in virtual time, twelve ranks in two or three groups.
-Prints the worth of what callers get (a late answer counts half): median
-(least..largest).
+Production entries and stand-in ranks run in virtual time, with twelve ranks in two or
+three groups. Prints the callers' score, in which a late response counts half: median
+(min..max).
 """
 
 from dataclasses import replace
@@ -32,7 +32,7 @@
 from briarthread_standins.play_load import play_load
 
 CAPACITY = 32.0
-"""Requests a second that twelve ranks of two like groups serve in time."""
+"""Requests per second that twelve ranks in two equal groups serve in time."""
 LOADS = {
     "0.6 x": LoadDay(0.6 * CAPACITY, ranks=12, groups=2),
     "1.5 x": LoadDay(1.5 * CAPACITY, ranks=12, groups=2),
@@ -49,9 +49,9 @@
         0.7 * CAPACITY, ranks=12, groups=3, slow=1.6
     ),
 }
-NOT_TOLD = "groups not told apart"
+MEMBERSHIP_UNKNOWN = "groups not told apart"
 POLICIES = {
-    NOT_TOLD: group_policies.any_group,
+    MEMBERSHIP_UNKNOWN: group_policies.any_group,
     "any group, by the rank": group_policies.any_group,
     "shortest predicted pass": group_policies.shortest_pass,
     "the better of two by chance": group_policies.better_of_two,
@@ -60,39 +60,43 @@
 }
 
 
-def outlook(
-    entry: DirectEntry, group: GroupId, room: GroupCapacity
+def forecast(
+    entry: DirectEntry, group: GroupId, group_capacity: GroupCapacity
 ) -> group_policies.GroupForecast:
-    """Return what an entry expects of a group that gets one request more."""
+    """Return an entry's forecast for a group that gets one more request."""
     meter = entry.capacity.meters[group]
-    each = meter.request_cost(anyio.current_time()) or meter.initial_cost
-    next_pass_seconds = meter.fixed_seconds + each * (room.running + 1)
-    return group_policies.GroupForecast(room.free, room.limit, next_pass_seconds)
+    cost = meter.request_cost(anyio.current_time()) or meter.initial_cost
+    next_pass_seconds = meter.fixed_seconds + cost * (group_capacity.running + 1)
+    return group_policies.GroupForecast(
+        group_capacity.free, group_capacity.limit, next_pass_seconds
+    )
 
 
-def worth_of(run: SimulationRun) -> float:
-    """Return what callers get in a play."""
+def score_of(run: SimulationRun) -> float:
+    """Return the callers' score in one simulation."""
     logger.remove()
 
     def prepare(entry: DirectEntry) -> None:
-        def choose(rooms: GroupCapacities) -> set[GroupId]:
-            with_room = {
-                group: outlook(entry, group, rooms[group])
-                for group in groups_with_capacity(rooms)
+        def choose(capacities: GroupCapacities) -> set[GroupId]:
+            forecasts = {
+                group: forecast(entry, group, capacities[group])
+                for group in groups_with_capacity(capacities)
             }
-            if not with_room:
-                return set(rooms)
-            return POLICIES[run.policy](with_room, entry.admission.rng)
+            if not forecasts:
+                return set(capacities)
+            return POLICIES[run.policy](forecasts, entry.admission.rng)
 
         entry.admission._allowed_groups = choose
 
-    day = replace(LOADS[run.load], seed=run.seed, told=run.policy != NOT_TOLD)
-    return play_load(day, prepare).worth
+    scenario = replace(
+        LOADS[run.load], seed=run.seed, told=run.policy != MEMBERSHIP_UNKNOWN
+    )
+    return play_load(scenario, prepare).worth
 
 
 def main() -> None:
-    """Print a table with a line for each way."""
-    print_comparison("way", POLICIES, LOADS, worth_of, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("way", POLICIES, LOADS, score_of, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/group_policies.py
+++ b/packages/measure/src/briarthread_measure/group_policies.py
@@ -1,8 +1,8 @@
 """
-Ways to choose the group that a request goes to, for comparison.
+Policies that choose the group for a request, for comparison.
 
-Each answers a service of several lock-step groups, of which one may be slower than
-the others, or smaller: every request of a group waits for its slowest rank.
+Each serves a service of several lock-step groups, of which one may be slower or
+smaller than the others: every request of a group waits for its slowest rank.
 """
 
 import random
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupForecast:
-    """A group's free room of ``most``, and its pass, s, with one request more."""
+    """Free capacity of a group out of ``limit``, and its pass with one more request."""
 
     free: int
     limit: int
@@ -22,58 +22,65 @@
 
 
 GroupPolicy = Callable[[Mapping[GroupId, GroupForecast], random.Random], set[GroupId]]
-"""Gives the groups of which a rank is chosen, of those with room."""
+"""Selects the groups from which a rank is chosen, out of those with free capacity."""
 
 
 def any_group(
-    rooms: Mapping[GroupId, GroupForecast], rng: random.Random
+    forecasts: Mapping[GroupId, GroupForecast], rng: random.Random
 ) -> set[GroupId]:
-    """Return all groups with room, so that the rank alone decides."""
-    return set(rooms)
+    """Return all groups with free capacity, so that the choice of rank decides."""
+    return set(forecasts)
 
 
 def shortest_pass(
-    rooms: Mapping[GroupId, GroupForecast], rng: random.Random
+    forecasts: Mapping[GroupId, GroupForecast], rng: random.Random
 ) -> set[GroupId]:
     """
-    Return the group whose pass is predicted to be the shortest.
+    Return the group with the shortest predicted pass.
 
-    >>> quick, long = GroupId("m", "a"), GroupId("m", "b")
-    >>> rooms = {
-    ...     quick: GroupForecast(4, 9, 0.05),
-    ...     long: GroupForecast(7, 9, 0.08),
+    >>> fast, slow = GroupId("m", "a"), GroupId("m", "b")
+    >>> forecasts = {
+    ...     fast: GroupForecast(4, 9, 0.05),
+    ...     slow: GroupForecast(7, 9, 0.08),
     ... }
-    >>> shortest_pass(rooms, random.Random(1)) == {quick}
+    >>> shortest_pass(forecasts, random.Random(1)) == {fast}
     True
     """
-    least = min(room.next_pass_seconds for room in rooms.values())
-    shortest = [
-        group for group, room in rooms.items() if room.next_pass_seconds <= least
+    shortest_seconds = min(
+        forecast.next_pass_seconds for forecast in forecasts.values()
+    )
+    candidates = [
+        group
+        for group, forecast in forecasts.items()
+        if forecast.next_pass_seconds <= shortest_seconds
     ]
-    return {rng.choice(sorted(shortest))}
+    return {rng.choice(sorted(candidates))}
 
 
 def better_of_two(
-    rooms: Mapping[GroupId, GroupForecast], rng: random.Random
+    forecasts: Mapping[GroupId, GroupForecast], rng: random.Random
 ) -> set[GroupId]:
-    """Return the one with the shorter predicted pass of two drawn groups."""
-    groups = sorted(rooms)
-    drawn = rng.sample(groups, min(2, len(groups)))
-    return shortest_pass({group: rooms[group] for group in drawn}, rng)
+    """Draw two groups and return the one with the shorter predicted pass."""
+    groups = sorted(forecasts)
+    drawn_groups = rng.sample(groups, min(2, len(groups)))
+    return shortest_pass({group: forecasts[group] for group in drawn_groups}, rng)
 
 
 def weighted_by_free_capacity(
-    rooms: Mapping[GroupId, GroupForecast], rng: random.Random
+    forecasts: Mapping[GroupId, GroupForecast], rng: random.Random
 ) -> set[GroupId]:
-    """Return a drawn group, the likelier the more room it has free."""
-    groups = sorted(rooms)
-    return {rng.choices(groups, [rooms[group].free for group in groups])[0]}
+    """Return a random group, weighted by free capacity."""
+    groups = sorted(forecasts)
+    return {rng.choices(groups, [forecasts[group].free for group in groups])[0]}
 
 
 def largest_free_share(
-    rooms: Mapping[GroupId, GroupForecast], rng: random.Random
+    forecasts: Mapping[GroupId, GroupForecast], rng: random.Random
 ) -> set[GroupId]:
-    """Return the group with the largest part of its room free."""
-    shares = {group: room.free / max(room.limit, 1) for group, room in rooms.items()}
+    """Return the group with the largest free share of its capacity."""
+    shares = {
+        group: forecast.free / max(forecast.limit, 1)
+        for group, forecast in forecasts.items()
+    }
     largest = max(shares.values())
     return {rng.choice(sorted(g for g, share in shares.items() if share >= largest))}
--- a/packages/measure/src/briarthread_measure/limit_policies.py
+++ b/packages/measure/src/briarthread_measure/limit_policies.py
@@ -1,4 +1,4 @@
-"""Ways to share a limit that a target names among all entries."""
+"""Policies for sharing the rate limit that a target announces among all entries."""
 
 import math
 from collections.abc import Callable
@@ -15,41 +15,43 @@
 
 
 def single_issuer(entry: DirectEntry) -> None:
-    """Leave an entry as it is: it asks the one that deals the limit."""
+    """Leave the entry unchanged: one entry issues the target's tokens to all."""
 
 
 def ignore_limits(entry: DirectEntry) -> None:
-    """Send as if no target named a limit."""
+    """Send as if no target had announced a limit."""
     entry.tokens.is_limited = lambda target: False
 
 
 def equal_shares(entry: DirectEntry) -> None:
-    """Give each entry its part of the rate, with room for one request."""
+    """Give each entry an equal share of the rate, with a burst of one request."""
 
-    def part(target: DirectTarget, limit: float) -> float:
+    def share_of(target: DirectTarget, limit: float) -> float:
         return limit / max(len(entry.directory.of_role(InstanceRole.ENTRY)), 1)
 
-    _take_by(entry, part)
+    _replace_acquire(entry, share_of)
 
 
 def few_senders(entry: DirectEntry) -> None:
-    """Let as many entries send as the limit has whole requests a second."""
+    """Let only as many entries send as the limit has whole requests per second."""
 
-    def part(target: DirectTarget, limit: float) -> float:
+    def share_of(target: DirectTarget, limit: float) -> float:
         entries = entry.directory.of_role(InstanceRole.ENTRY)
-        number = max(math.floor(limit), 1)
-        holders = rendezvous_order(target.name, entries)[:number]
-        return limit / number if entry.settings.name in holders else 0.0
+        sender_count = max(math.floor(limit), 1)
+        senders = rendezvous_order(target.name, entries)[:sender_count]
+        return limit / sender_count if entry.settings.name in senders else 0.0
 
-    _take_by(entry, part)
+    _replace_acquire(entry, share_of)
 
 
-def _take_by(entry: DirectEntry, part: Callable[[DirectTarget, float], float]) -> None:
+def _replace_acquire(
+    entry: DirectEntry, share_of: Callable[[DirectTarget, float], float]
+) -> None:
     buckets: dict[str, TokenBucket] = {}
 
-    async def take(target: DirectTarget, wait: float) -> bool:
+    async def acquire_share(target: DirectTarget, wait: float) -> bool:
         now = anyio.current_time()
-        rate = part(target, entry.limits.limit_of(target.name) or 0.0)
+        rate = share_of(target, entry.limits.limit_of(target.name) or 0.0)
         if rate <= 0:
             entry.tokens.denied_until[target.name] = now + 1.0
             return False
@@ -59,7 +61,7 @@
             entry.tokens.denied_until[target.name] = now + pause
         return pause == 0
 
-    entry.tokens.acquire = take
+    entry.tokens.acquire = acquire_share
 
 
 POLICIES: dict[str, Prepare] = {
--- a/packages/measure/src/briarthread_measure/limit_run.py
+++ b/packages/measure/src/briarthread_measure/limit_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to keep the limits that targets name, in virtual time.
+Compare policies that enforce the limits announced by targets, in virtual time.
 
 Usage:
   limit_run [--entries=LIST] [--limits=LIST] [--loads=LIST] [--seconds=S]
@@ -10,9 +10,9 @@
   --loads=LIST    Loads by name, all where none is given [default: ].
   --seconds=S     Length of a play, s [default: 20].
 
-A cell gives the most arrivals at a limited target in any four seconds from three
-seconds after its first word on, the part of its limit that it got, and the part of
-all callers who were served. The first line says how many are allowed.
+A cell gives the most arrivals at a limited target in any four seconds, from three
+seconds after it first announced its limit, the share of its limit that it received, and
+the share of callers that were served. The first row gives the allowed arrivals.
 """
 
 from collections.abc import Callable
@@ -27,55 +27,55 @@
 from briarthread_standins.limit_tally import allowed
 from briarthread_standins.play_limits import play_limits
 
-NAMED_AT, STABLE_SECONDS = 1.0, 3.0
+ANNOUNCED_AT_SECONDS, STABLE_SECONDS = 1.0, 3.0
 TARGETS = 4
-"""Targets of which one, or where it is said all, name a limit."""
-PRESSURE = 2.0
-"""Load on the limited targets, as a part of their limits, if it came evenly."""
+"""Targets of the service; one announces a limit, or all in the load "all limited"."""
+LOAD_FACTOR = 2.0
+"""Load on each target relative to its limit, if requests were spread evenly."""
 
-Build = Callable[[int, str, float], LimitDay]
+BuildScenario = Callable[[int, str, float], LimitDay]
 
 
 def one_limited(entries: int, limit: str, seconds: float) -> LimitDay:
-    """Return a day on which one rank of some names a limit."""
-    rate = TARGETS * PRESSURE * float(limit)
-    steps = (LimitStep(NAMED_AT, limit),)
+    """Return a scenario in which one of several ranks announces a limit."""
+    rate = TARGETS * LOAD_FACTOR * float(limit)
+    steps = (LimitStep(ANNOUNCED_AT_SECONDS, limit),)
     return LimitDay(entries, TARGETS, rate=rate, seconds=seconds, steps=steps)
 
 
-def restarted(entries: int, limit: str, seconds: float) -> LimitDay:
-    """Return such a day on which an entry starts again."""
-    day = one_limited(entries, limit, seconds)
-    return replace(day, restarted=True, trouble_at=8.0)
+def entry_restarted(entries: int, limit: str, seconds: float) -> LimitDay:
+    """Return the scenario of ``one_limited`` with an entry that restarts."""
+    scenario = one_limited(entries, limit, seconds)
+    return replace(scenario, restarted=True, trouble_at=8.0)
 
 
-def cut_off(entries: int, limit: str, seconds: float) -> LimitDay:
-    """Return such a day on which an entry is cut off for some seconds."""
+def partitioned(entries: int, limit: str, seconds: float) -> LimitDay:
+    """Return the scenario of ``one_limited`` with a partitioned entry."""
     return replace(one_limited(entries, limit, seconds), cut_off=True, trouble_at=8.0)
 
 
 def all_limited(entries: int, limit: str, seconds: float) -> LimitDay:
-    """Return a day on which all targets of a plain service name a limit."""
-    day = one_limited(entries, limit, seconds)
-    steps = (LimitStep(NAMED_AT, limit, TARGETS),)
-    return replace(day, service=DIARY, steps=steps)
+    """Return a scenario in which all targets of a plain service announce a limit."""
+    scenario = one_limited(entries, limit, seconds)
+    steps = (LimitStep(ANNOUNCED_AT_SECONDS, limit, TARGETS),)
+    return replace(scenario, service=DIARY, steps=steps)
 
 
-LOADS: dict[str, Build] = {
+LOADS: dict[str, BuildScenario] = {
     "one of four limited": one_limited,
-    "an entry restarts": restarted,
-    "an entry cut off": cut_off,
+    "an entry restarts": entry_restarted,
+    "an entry cut off": partitioned,
     "all limited": all_limited,
 }
 
 
-def cell(policy: str, day: LimitDay, limit: float) -> str:
-    """Play a day in one way and return what its target got."""
-    tally = play_limits(day, POLICIES[policy])
-    since = NAMED_AT + STABLE_SECONDS
-    got = tally.a_second(0, since, day.seconds) / limit
-    served = tally.statuses[200] / max(sum(tally.statuses.values()), 1)
-    return f"{tally.most(0, since)}; {got:.2f}; {served:.2f}"
+def format_cell(policy: str, scenario: LimitDay, limit: float) -> str:
+    """Simulate a scenario under a policy and format what its target received."""
+    results = play_limits(scenario, POLICIES[policy])
+    since = ANNOUNCED_AT_SECONDS + STABLE_SECONDS
+    limit_share = results.a_second(0, since, scenario.seconds) / limit
+    served = results.statuses[200] / max(sum(results.statuses.values()), 1)
+    return f"{results.most(0, since)}; {limit_share:.2f}; {served:.2f}"
 
 
 def main() -> None:
@@ -86,13 +86,26 @@
     loads = [name for name in arguments["--loads"].split(",") if name] or list(LOADS)
     seconds = float(arguments["--seconds"])
     for entries in (int(number) for number in arguments["--entries"].split(",")):
-        print(f"\n| {entries} entries |", " | ".join(f"{one}/s" for one in limits), "|")
+        print(
+            f"\n| {entries} entries |",
+            " | ".join(f"{limit}/s" for limit in limits),
+            "|",
+        )
         print("| --- |", " | ".join("---" for _ in limits), "|")
-        print("| allowed |", " | ".join(f"{allowed(float(x)):g}" for x in limits), "|")
+        print(
+            "| allowed |",
+            " | ".join(f"{allowed(float(limit)):g}" for limit in limits),
+            "|",
+        )
         for load in loads:
             for policy in POLICIES:
-                days = [(LOADS[load](entries, one, seconds), one) for one in limits]
-                cells = [cell(policy, day, float(one)) for day, one in days]
+                scenarios = [
+                    (LOADS[load](entries, limit, seconds), limit) for limit in limits
+                ]
+                cells = [
+                    format_cell(policy, scenario, float(limit))
+                    for scenario, limit in scenarios
+                ]
                 print(f"| {load}: {policy} |", " | ".join(cells), "|", flush=True)
 
 
--- a/packages/measure/src/briarthread_measure/line_fit.py
+++ b/packages/measure/src/briarthread_measure/line_fit.py
@@ -1,4 +1,4 @@
-"""Fitting of a line to measured points."""
+"""Linear regression."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 @dataclass(frozen=True, slots=True)
 class LineFit:
     """
-    Hold a line and how far the points lie from it.
+    A fitted line and its largest residual.
 
-    ``residual`` is the largest distance of a point from the line, as a part
-    of the largest measured value.
+    ``residual`` is the largest absolute distance of a point from the line, as a
+    fraction of the largest measured value.
     """
 
     slope: float
@@ -19,22 +19,26 @@
     residual: float
 
     def at(self, size: float) -> float:
-        """Return the line's value at a size."""
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
 
 def fit_line(sizes: Sequence[float], values: Sequence[float]) -> LineFit:
     """
-    Fit a line by least squares.
+    Fit a line by ordinary least squares.
 
     >>> fit_line([1, 2, 3, 4], [3, 5, 7, 9])
     LineFit(slope=2.0, intercept=1.0, residual=0.0)
     """
     mean_size, mean_value = fmean(sizes), fmean(values)
-    spread = sum((size - mean_size) ** 2 for size in sizes)
+    size_variation = sum((size - mean_size) ** 2 for size in sizes)
     pairs = list(zip(sizes, values, strict=True))
-    slope = sum((s - mean_size) * (v - mean_value) for s, v in pairs) / spread
+    slope = sum((s - mean_size) * (v - mean_value) for s, v in pairs) / size_variation
     intercept = mean_value - slope * mean_size
-    furthest = max(abs(value - intercept - slope * size) for size, value in pairs)
-    largest = max(abs(value) for value in values)
-    return LineFit(slope, intercept, furthest / largest if largest else 0.0)
+    largest_residual = max(
+        abs(value - intercept - slope * size) for size, value in pairs
+    )
+    largest_value = max(abs(value) for value in values)
+    return LineFit(
+        slope, intercept, largest_residual / largest_value if largest_value else 0.0
+    )
--- a/packages/measure/src/briarthread_measure/load_client.py
+++ b/packages/measure/src/briarthread_measure/load_client.py
@@ -1,10 +1,10 @@
 """
-Send requests in closed loops and print the latencies.
+Send requests in closed loops and print their latencies.
 
 Usage:
   load_client ADDRESS PATH KEY BODY CALLERS REQUESTS
 
-It prints JSON: seconds in all, failures, and each latency in seconds.
+The output is JSON: total seconds, failures, and each latency in seconds.
 """
 
 import anyio
@@ -21,7 +21,7 @@
 async def run(
     request: ChannelRequest, callers: int, requests: int
 ) -> dict[str, object]:
-    """Send the requests and return what they took."""
+    """Send the requests and return the total time, the failures and the latencies."""
     channel = HttpChannel()
     latencies: list[float] = []
     failures = 0
@@ -35,7 +35,7 @@
         except ChannelError:
             return False
 
-    async def loop(count: int) -> None:
+    async def send_in_sequence(count: int) -> None:
         nonlocal failures
         for _ in range(count):
             start = anyio.current_time()
@@ -45,7 +45,7 @@
     started = anyio.current_time()
     async with anyio.create_task_group() as tasks:
         for _ in range(callers):
-            tasks.start_soon(loop, requests // callers)
+            tasks.start_soon(send_in_sequence, requests // callers)
     seconds = anyio.current_time() - started
     await channel.close()
     return {"seconds": seconds, "failures": failures, "latencies": latencies}
--- a/packages/measure/src/briarthread_measure/load_watchers.py
+++ b/packages/measure/src/briarthread_measure/load_watchers.py
@@ -1,5 +1,5 @@
 """
-Hold load streams to one agent, as the entries that watch it do.
+Keep load streams to one agent open, as the entries that watch it do.
 
 Usage:
   load_watchers ADDRESS COUNT EVERY
@@ -12,27 +12,27 @@
 from briarthread_common.http.http_channel import HttpChannel
 
 
-async def watch(address: str, every: float) -> None:
-    """Follow one stream."""
-    request = ChannelRequest("GET", address, f"/agent/v1/load?every={every}")
+async def read_stream(address: str, interval: float) -> None:
+    """Read one load stream until it ends."""
+    request = ChannelRequest("GET", address, f"/agent/v1/load?every={interval}")
     async with HttpChannel().stream(request) as response:
         async for _ in response.body:
             pass
 
 
-async def watch_all(address: str, count: int, every: float) -> None:
-    """Follow all streams until the process is ended."""
+async def read_streams(address: str, count: int, interval: float) -> None:
+    """Read all load streams until the process is terminated."""
     async with anyio.create_task_group() as tasks:
         for _ in range(count):
-            tasks.start_soon(watch, address, every)
+            tasks.start_soon(read_stream, address, interval)
         await anyio.sleep_forever()
 
 
 def main() -> None:
-    """Run the watchers."""
+    """Run the readers."""
     arguments = docopt(__doc__)
     anyio.run(
-        watch_all,
+        read_streams,
         arguments["ADDRESS"],
         int(arguments["COUNT"]),
         float(arguments["EVERY"]),
--- a/packages/measure/src/briarthread_measure/map_search_run.py
+++ b/packages/measure/src/briarthread_measure/map_search_run.py
@@ -1,5 +1,5 @@
 """
-Tell what one change of a group's map gains, and how long its search takes.
+Measure the gain of one change of a group's map and the duration of its search.
 
 Usage:
   map_search_run [--seeds=N]
@@ -7,10 +7,10 @@
 Options:
   --seeds=N  Draws of demand for each size [default: 3].
 
-The experts of each set are dealt out in turn and their demand is drawn from
-log-normal weights. Skew is the busiest rank's work over the mean, summed over the
-sets; time is this process's own: median (least..largest). Each size is searched a
-second time as if a load cost it what it costs a group of twelve.
+The experts of each set are assigned to the ranks round-robin, and their demand is drawn
+from log-normal weights. Skew is the load of the busiest rank over the mean, summed over
+the sets; time is the CPU time of this process: median (min..max). Each size is searched
+a second time with the cost of an expert load that applies to a group of twelve ranks.
 """
 
 import math
@@ -34,17 +34,17 @@
     63: ExpertLayout(sets=8, experts=252, slots_per_rank=5, max_new_experts=2),
     129: ExpertLayout(sets=16, experts=258, slots_per_rank=3, max_new_experts=2),
 }
-COMMON = 0.65
-"""Part of the demand that has the narrower of the two spreads."""
-NARROW, WIDE = 0.8, 1.0
-"""Deviations of the log-normal weights."""
-FULL = PassDuration(0.12, 0.05)
-"""A pass at the longest pause that callers accept, and its fixed part, s."""
+NARROW_SHARE = 0.65
+"""Share of the demand drawn from the narrower of the two distributions."""
+NARROW_SIGMA, WIDE_SIGMA = 0.8, 1.0
+"""Sigmas of the two log-normal distributions."""
+LONGEST_PASS = PassDuration(0.12, 0.05)
+"""Pass of the longest pause that callers accept, and its fixed part, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What one change gains: skew before and after, loads and milliseconds."""
+class SearchResult:
+    """Skew before and after a change, its expert loads, and the search time."""
 
     before: float
     after: float
@@ -52,63 +52,65 @@
     milliseconds: float
 
 
-def search(ranks: int, seed: int) -> Found:
-    """Search a change of the dealt map for one draw of demand."""
-    figures = SIZES[ranks]
+def search(ranks: int, seed: int) -> SearchResult:
+    """Search a change of the round-robin map for one draw of demand."""
+    layout = SIZES[ranks]
     rng = random.Random(seed)
-    layers = even_map(NO_MAP, figures.sets, figures.experts, ranks).layers
-    demand = [_draw(rng, figures.experts) for _ in range(figures.sets)]
-    slowest = _slowest(layers, demand)
-    better: Layers = []
+    layers = even_map(NO_MAP, layout.sets, layout.experts, ranks).layers
+    demand = [_draw_demand(rng, layout.experts) for _ in range(layout.sets)]
+    slowest_loads = _slowest_loads(layers, demand)
+    changed_layers: Layers = []
     loads = 0
     started = time.process_time()
     for number, layer in enumerate(layers):
-        others = sum(slowest) - slowest[number]
-        *_, change = search_set_changes(layer, demand[number], others, figures, FULL)
-        better.append(change.layer)
+        other_sets = sum(slowest_loads) - slowest_loads[number]
+        *_, change = search_set_changes(
+            layer, demand[number], other_sets, layout, LONGEST_PASS
+        )
+        changed_layers.append(change.layer)
         loads += change.loads
     milliseconds = (time.process_time() - started) * 1000
     mean = sum(sum(counts) / ranks for counts in demand)
-    after = sum(_slowest(better, demand)) / mean
-    return Found(sum(slowest) / mean, after, loads, milliseconds)
+    after = sum(_slowest_loads(changed_layers, demand)) / mean
+    return SearchResult(sum(slowest_loads) / mean, after, loads, milliseconds)
 
 
-def _draw(rng: random.Random, experts: int) -> list[float]:
-    common = [rng.lognormvariate(0, NARROW) for _ in range(experts)]
-    own = [rng.lognormvariate(0, WIDE) for _ in range(experts)]
+def _draw_demand(rng: random.Random, experts: int) -> list[float]:
+    narrow = [rng.lognormvariate(0, NARROW_SIGMA) for _ in range(experts)]
+    wide = [rng.lognormvariate(0, WIDE_SIGMA) for _ in range(experts)]
     return [
-        COMMON * one + (1 - COMMON) * other
-        for one, other in zip(common, own, strict=True)
+        NARROW_SHARE * one + (1 - NARROW_SHARE) * other
+        for one, other in zip(narrow, wide, strict=True)
     ]
 
 
-def _slowest(layers: Layers, demand: list[list[float]]) -> list[float]:
+def _slowest_loads(layers: Layers, demand: list[list[float]]) -> list[float]:
     return [
         slowest_load(layer, counts)
         for layer, counts in zip(layers, demand, strict=True)
     ]
 
 
-def _row(name: str, found: list[Found]) -> str:
+def _format_row(name: str, results: list[SearchResult]) -> str:
     cells = [
-        format_median_range([one.before for one in found], ".2f"),
-        format_median_range([one.after for one in found], ".2f"),
-        format_median_range([float(one.loads) for one in found], ".0f"),
-        format_median_range([one.milliseconds for one in found], ".0f"),
+        format_median_range([result.before for result in results], ".2f"),
+        format_median_range([result.after for result in results], ".2f"),
+        format_median_range([float(result.loads) for result in results], ".0f"),
+        format_median_range([result.milliseconds for result in results], ".0f"),
     ]
     return f"| {name} | {' | '.join(cells)} |"
 
 
 def main() -> None:
-    """Print two lines a size."""
+    """Print two rows for each size."""
     seeds = range(1, int(docopt(__doc__)["--seeds"]) + 1)
     print("| ranks | skew before | after | experts loaded | ms |")
     print("| --- | --- | --- | --- | --- |")
     for ranks in SIZES:
-        print(_row(str(ranks), [search(ranks, seed) for seed in seeds]))
+        print(_format_row(str(ranks), [search(ranks, seed) for seed in seeds]))
         with mock.patch.object(set_rebalance, "LOAD_COST_RANKS", math.inf):
-            found = [search(ranks, seed) for seed in seeds]
-        print(_row(f"{ranks}, at the cost of twelve", found))
+            results = [search(ranks, seed) for seed in seeds]
+        print(_format_row(f"{ranks}, at the cost of twelve", results))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/memory_probe.py
+++ b/packages/measure/src/briarthread_measure/memory_probe.py
@@ -1,5 +1,5 @@
 """
-Print the resident bytes that a number of items takes in a fresh process.
+Print the resident memory that a number of items needs in a fresh process, in bytes.
 
 Usage:
   memory_probe KIND COUNT
@@ -35,28 +35,28 @@
 )
 from briarthread_measure.process_usage import read_usage
 
-ANSWER_BYTES = 500
+RESPONSE_BYTES = 500
 ADDRESSES = ["127.0.0.1:9999"]
 
 
-def hold_accounts(count: int) -> object:
-    """Hold a text with so many accounts, raw and typed."""
+def build_accounts(count: int) -> object:
+    """Build a services text with ``count`` accounts, raw and parsed."""
     feeds = FeedSet()
     feeds.text.install(snapshot_patch("text", text_sections(count)))
     view = TextView(feeds.text)
     return feeds, view.current()
 
 
-def hold_services(count: int) -> object:
-    """Hold a text with so many services."""
+def build_services(count: int) -> object:
+    """Build a services text with ``count`` services."""
     feeds = FeedSet()
     feeds.text.install(snapshot_patch("text", text_sections(0, count)))
     view = TextView(feeds.text)
     return feeds, view.current()
 
 
-def hold_instances(count: int) -> object:
-    """Hold an instance list, raw and typed."""
+def build_instances(count: int) -> object:
+    """Build an instance list, raw and parsed."""
     feeds = FeedSet()
     feeds.instances.install(
         snapshot_patch("instances", instance_items(0, count, ADDRESSES))
@@ -65,8 +65,8 @@
     return feeds, directory.all(), directory
 
 
-def hold_shares(count: int) -> object:
-    """Hold share rows, raw and typed."""
+def build_shares(count: int) -> object:
+    """Build share rows, raw and parsed."""
     services = max(count // (DATA_CENTRES * 12), 1)
     feeds = FeedSet()
     items = share_items(services)
@@ -79,8 +79,8 @@
     return feeds, view, rows
 
 
-def hold_keys(count: int) -> object:
-    """Hold remembered keys with an answer each."""
+def build_keys(count: int) -> object:
+    """Build records of idempotency keys with a response each."""
     rng = random.Random(1)
     record_store = RecordStore(Clock())
     for _ in range(count):
@@ -98,14 +98,14 @@
         )
         record = Record(attempt, rng.getrandbits(64), 120.0, 1 << 20)
         record.response.start(200, (("content-type", "application/json"),))
-        record.response.add(bytes(rng.randbytes(ANSWER_BYTES)))
+        record.response.add(bytes(rng.randbytes(RESPONSE_BYTES)))
         record.response.finish()
         record_store.add(record)
     return record_store
 
 
-def hold_buckets(count: int) -> object:
-    """Hold the limits' state of so many active accounts."""
+def build_buckets(count: int) -> object:
+    """Build the limiter state of ``count`` active accounts."""
     feeds = FeedSet()
     feeds.text.install(snapshot_patch("text", text_sections(count)))
     accounts = TextView(feeds.text).current().accounts
@@ -116,36 +116,36 @@
     return before, feeds, limiter
 
 
-def hold_layers(count: int) -> object:
-    """Hold an expert map with so many layers."""
+def build_layers(count: int) -> object:
+    """Build ``count`` expert maps of one layer each."""
     return [even_map(1, 1, EXPERTS, GROUP_RANKS) for _ in range(count)]
 
 
 PROBES: dict[str, Callable[[int], object]] = {
-    "accounts": hold_accounts,
-    "services": hold_services,
-    "instances": hold_instances,
-    "shares": hold_shares,
-    "keys": hold_keys,
-    "buckets": hold_buckets,
-    "layers": hold_layers,
+    "accounts": build_accounts,
+    "services": build_services,
+    "instances": build_instances,
+    "shares": build_shares,
+    "keys": build_keys,
+    "buckets": build_buckets,
+    "layers": build_layers,
 }
 
 
 async def probe(kind: str, count: int) -> int:
-    """Return the bytes by which the process grew."""
+    """Return the growth of the resident memory in bytes."""
     PROBES[kind](1)
     before = read_usage(os.getpid()).rss
-    held = PROBES[kind](count)
+    state = PROBES[kind](count)
     after = read_usage(os.getpid()).rss
     if kind == "buckets":
-        before = held[0]
+        before = state[0]
     await asyncio.sleep(0)
     return after - before
 
 
 def main() -> None:
-    """Print one number."""
+    """Print the number of bytes."""
     arguments = docopt(__doc__)
     print(anyio.run(probe, arguments["KIND"], int(arguments["COUNT"])))
 
--- a/packages/measure/src/briarthread_measure/memory_slopes.py
+++ b/packages/measure/src/briarthread_measure/memory_slopes.py
@@ -1,4 +1,4 @@
-"""Print the bytes that each kind of state takes an item, with the residual."""
+"""Print the bytes per item of each kind of state, with the residual of the fit."""
 
 import subprocess
 import sys
@@ -17,16 +17,16 @@
 
 
 def measure(kind: str, count: int) -> int:
-    """Return the growth of a fresh process in bytes."""
+    """Return the memory growth of a fresh process in bytes."""
     command = [sys.executable, "-m", "briarthread_measure.memory_probe"]
-    done = subprocess.run(
+    completed = subprocess.run(
         [*command, kind, str(count)], check=True, capture_output=True, text=True
     )
-    return int(done.stdout.split()[-1])
+    return int(completed.stdout.split()[-1])
 
 
 def main() -> None:
-    """Print a line a kind."""
+    """Print a line for each kind of state."""
     print(f"{'kind':10} {'bytes an item':>14} {'fixed bytes':>12} {'residual':>9}")
     for kind, sizes in SIZES.items():
         fit = fit_line(sizes, [measure(kind, size) for size in sizes])
--- a/packages/measure/src/briarthread_measure/open_load.py
+++ b/packages/measure/src/briarthread_measure/open_load.py
@@ -1,4 +1,4 @@
-"""Requests that come at random, whatever becomes of them."""
+"""Open-loop load: random arrivals that do not wait for earlier responses."""
 
 import random
 from dataclasses import dataclass, field
@@ -15,10 +15,10 @@
 
 @dataclass(slots=True)
 class LoadResults:
-    """Count the answers; latencies in seconds, of good ones and of refusals."""
+    """Counts of responses, and latencies of successes and refusals in seconds."""
 
     requests: int = 0
-    good: int = 0
+    successes: int = 0
     refused: int = 0
     unknown: int = 0
     latencies: list[float] = field(default_factory=list)
@@ -26,7 +26,7 @@
 
 
 class OpenLoad:
-    """Send a world requests of two accounts through its entries in turn."""
+    """Send requests of two accounts to a world's entries in round-robin order."""
 
     def __init__(self, world: World, text: str, seed: int) -> None:
         self.world = world
@@ -34,7 +34,7 @@
         self.rng = random.Random(seed)
 
     async def start(self) -> None:
-        """Apply the text and wait until the world is up."""
+        """Apply the services text and wait until the world has started."""
         await anyio.sleep(1)
         accounts = "".join(
             f"[account {name}]\nkeys = {key_digest(name)}\nhome = one\n"
@@ -47,31 +47,31 @@
     async def run(
         self, account: str, rate: float, seconds: float, timeout: float
     ) -> LoadResults:
-        """Send ``rate`` requests a second for a while and count the answers."""
-        tally = LoadResults()
+        """Send ``rate`` requests per second and count the responses."""
+        results = LoadResults()
         entries = [n for n in self.world.members if n.startswith("entry-")]
         end = self.world.clock.now() + seconds
         async with anyio.create_task_group() as tasks:
             while self.world.clock.now() < end:
                 await anyio.sleep(self.rng.expovariate(rate))
-                entry = entries[tally.requests % len(entries)]
-                tally.requests += 1
-                tasks.start_soon(self._ask, entry, account, timeout, tally)
-        return tally
+                entry = entries[results.requests % len(entries)]
+                results.requests += 1
+                tasks.start_soon(self._send_request, entry, account, timeout, results)
+        return results
 
-    async def _ask(
-        self, entry: str, account: str, timeout: float, tally: LoadResults
+    async def _send_request(
+        self, entry: str, account: str, timeout: float, results: LoadResults
     ) -> None:
         start = self.world.clock.now()
-        answer = await self.world.call(
+        response = await self.world.call(
             entry, "cards/x", account, body=b"x", timeout=timeout
         )
-        took = self.world.clock.now() - start
-        if answer.status == OK and took <= timeout:
-            tally.good += 1
-            tally.latencies.append(took)
-        elif answer.outcome == "not-run":
-            tally.refused += 1
-            tally.refusal_latencies.append(took)
+        elapsed = self.world.clock.now() - start
+        if response.status == OK and elapsed <= timeout:
+            results.successes += 1
+            results.latencies.append(elapsed)
+        elif response.outcome == "not-run":
+            results.refused += 1
+            results.refusal_latencies.append(elapsed)
         else:
-            tally.unknown += 1
+            results.unknown += 1
--- a/packages/measure/src/briarthread_measure/reference_pages.py
+++ b/packages/measure/src/briarthread_measure/reference_pages.py
@@ -1,5 +1,5 @@
 """
-Write the reference pages of the settings and of the services text.
+Write the reference pages of the errors, the settings and the services text.
 
 Usage:
   reference_pages FOLDER
@@ -18,17 +18,17 @@
 from briarthread_entry.direct.settings import DIRECT_SECTIONS
 from briarthread_entry.settings import ENTRY_SECTIONS
 
-NOTE = (
+GENERATED_NOTE = (
     "This page is written by `python -m briarthread_measure.reference_pages "
     "docs/reference`.\n"
 )
-CLOCKS = (
+CLOCK_NOTE = (
     "Clocks of all instances have to agree within 2 s: deadlines travel as Unix time.\n"
 )
 
 
 def section_table(spec: SectionSpec) -> str:
-    """Return a section's heading, help and table of options."""
+    """Return the heading, the help text and the option table of a section."""
     lines = [
         f"### [{spec.name}]\n",
         f"{spec.help}\n",
@@ -44,27 +44,31 @@
     return "\n".join(lines) + "\n"
 
 
-def page(title: str, parts: dict[str, Sequence[SectionSpec]], intro: str) -> str:
-    """Return a whole page."""
-    blocks = [f"# {title}\n", NOTE, intro]
-    for heading, specs in parts.items():
+def page(
+    title: str, section_groups: dict[str, Sequence[SectionSpec]], intro: str
+) -> str:
+    """Return a page with a heading for each group of sections."""
+    blocks = [f"# {title}\n", GENERATED_NOTE, intro]
+    for heading, specs in section_groups.items():
         blocks.append(f"## {heading}\n")
         blocks.extend(section_table(spec) for spec in specs)
     return "\n".join(blocks)
 
 
 def error_page() -> str:
-    """Return the page of the error kinds."""
+    """Return the page that lists the error kinds."""
     lines = [
         "# Errors\n",
-        NOTE,
+        GENERATED_NOTE,
         "| kind | status | outcome | Retry-After | title |",
         "| --- | --- | --- | --- | --- |",
     ]
     for kind, row in ERROR_ANSWERS.items():
-        pause = "none" if row.retry_after is None else f"{row.retry_after:g} s or more"
+        min_wait = (
+            "none" if row.retry_after is None else f"{row.retry_after:g} s or more"
+        )
         lines.append(
-            f"| `{kind}` | {row.status} | {row.outcome} | {pause} | {row.title} |"
+            f"| `{kind}` | {row.status} | {row.outcome} | {min_wait} | {row.title} |"
         )
     lines.append("")
     lines.append(
@@ -75,7 +79,7 @@
 
 
 def reference_pages() -> dict[str, str]:
-    """Return each page by its file name."""
+    """Return the content of each page by file name."""
     return {
         "errors.md": error_page(),
         "settings.md": page(
@@ -86,7 +90,7 @@
                 "`briarthread-agent`": AGENT_SECTIONS,
                 "`briarthread-agent --direct`": DIRECT_AGENT_SECTIONS,
             },
-            CLOCKS,
+            CLOCK_NOTE,
         ),
         "text.md": page(
             "The services text",
--- a/packages/measure/src/briarthread_measure/relay_run.py
+++ b/packages/measure/src/briarthread_measure/relay_run.py
@@ -1,5 +1,5 @@
 """
-Measure what entry and agent add to a request, beside a bare relay.
+Measure the overhead of entry and agent, compared with bare relays.
 
 Usage:
   relay_run [--repeats=N]
@@ -7,9 +7,9 @@
 Options:
   --repeats=N  How often each way is measured, in turn [default: 3].
 
-The ways: the target alone, two bare relays before it, entry and agent before
-it. Each is measured with one caller, for latency, and with 16, for the rate.
-Streams of 200 tokens with 16 callers give the tokens a second.
+The routes are the target alone, two bare relays before it, and entry and agent before
+it. Each is measured with one caller for the latency and with 16 callers for the request
+rate. Streams of 200 tokens with 16 callers give the tokens per second.
 """
 
 import subprocess
@@ -48,14 +48,14 @@
 KEY = "caller-key"
 SERVICES = {"cards": "plain_service", "assistant": "stream_engine"}
 RELAY_PORT = 18500
-MANY = 16
+CALLERS = 16
 REQUESTS = 400
 TOKENS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """Name a way to a target, where it begins and what stands on it."""
+class MeasuredRoute:
+    """Path of requests to a target: first address, URL path and relay processes."""
 
     name: str
     address: str
@@ -64,8 +64,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Hold latencies in ms, a rate, and processor ms a request of a way."""
+class Measurements:
+    """Latencies in ms, requests per second, and CPU time per request in ms."""
 
     p50: float
     p99: float
@@ -74,26 +74,26 @@
     failures: int
 
 
-def send(way: Way, body: str, callers: int, requests: int) -> Figures:
-    """Send a load down a way."""
-    before = sum(read_usage(pid).cpu for pid in way.pids)
+def send(route: MeasuredRoute, body: str, callers: int, requests: int) -> Measurements:
+    """Send a load on a route."""
+    cpu_before = sum(read_usage(pid).cpu for pid in route.pids)
     command = [sys.executable, "-m", "briarthread_measure.load_client"]
-    arguments = [way.address, way.path, KEY, body, str(callers), str(requests)]
-    done = subprocess.run([*command, *arguments], check=True, capture_output=True)
-    used = sum(read_usage(pid).cpu for pid in way.pids) - before
-    result = msgspec.json.decode(done.stdout)
+    arguments = [route.address, route.path, KEY, body, str(callers), str(requests)]
+    completed = subprocess.run([*command, *arguments], check=True, capture_output=True)
+    cpu_seconds = sum(read_usage(pid).cpu for pid in route.pids) - cpu_before
+    result = msgspec.json.decode(completed.stdout)
     latencies = result["latencies"]
-    return Figures(
+    return Measurements(
         percentile(latencies, 0.5) * 1000,
         percentile(latencies, 0.99) * 1000,
         len(latencies) / result["seconds"],
-        used / len(latencies) * 1000,
+        cpu_seconds / len(latencies) * 1000,
         result["failures"],
     )
 
 
 def start_relays(target: str) -> tuple[str, list[subprocess.Popen]]:
-    """Start two bare relays in a row before a target."""
+    """Start a chain of two bare relays before a target."""
     handles = []
     for number in range(2):
         listen = f"127.0.0.1:{RELAY_PORT + number}"
@@ -103,34 +103,41 @@
     return target, handles
 
 
-def show(way: Way, title: str, runs: list[Figures]) -> None:
-    """Print a way's figures: median (least..largest) of the repeats."""
+def print_measurements(
+    route: MeasuredRoute, title: str, runs: list[Measurements]
+) -> None:
+    """Print the measurements of a route: median (min..max) of the repeats."""
     p50 = format_median_range([run.p50 for run in runs], ".2f")
     p99 = format_median_range([run.p99 for run in runs], ".2f")
     rate = format_median_range([run.rate for run in runs], ".0f")
     cpu = format_median_range([run.cpu for run in runs], ".2f")
     failures = sum(run.failures for run in runs)
     print(
-        f"{title:16} {way.name:17} p50 {p50} ms, p99 {p99} ms, {rate}/s, "
+        f"{title:16} {route.name:17} p50 {p50} ms, p99 {p99} ms, {rate}/s, "
         f"{cpu} ms of processor a request, {failures} failed",
         flush=True,
     )
 
 
 def measure(
-    ways: list[Way], title: str, body: str, callers: int, requests: int, repeats: int
+    routes: list[MeasuredRoute],
+    title: str,
+    body: str,
+    callers: int,
+    requests: int,
+    repeats: int,
 ) -> None:
-    """Measure the ways in turn, so that drift of the machine hits all."""
-    runs: dict[str, list[Figures]] = {way.name: [] for way in ways}
+    """Measure the routes in turn, so that drift of the machine affects all alike."""
+    runs: dict[str, list[Measurements]] = {route.name: [] for route in routes}
     for _ in range(repeats):
-        for way in ways:
-            runs[way.name].append(send(way, body, callers, requests))
-    for way in ways:
-        show(way, title, runs[way.name])
+        for route in routes:
+            runs[route.name].append(send(route, body, callers, requests))
+    for route in routes:
+        print_measurements(route, title, runs[route.name])
 
 
 def main() -> None:
-    """Start everything, measure, stop everything."""
+    """Start the deployment, measure, and stop it."""
     repeats = int(docopt(__doc__)["--repeats"])
     with tempfile.TemporaryDirectory() as folder:
         text = Path(folder) / "text.ini"
@@ -141,33 +148,38 @@
             deployment.start()
             deployment.apply(text)
             deployment.wait_ready()
-            wait_until(lambda: targets_are_up(deployment), "targets")
-            show_memory(deployment, "idle")
+            wait_until(lambda: targets_are_usable(deployment), "targets")
+            print_memory(deployment, "idle")
             for service, body, requests in (
                 ("cards", "{}", REQUESTS),
-                ("assistant", f'{{"tokens": {TOKENS}}}', MANY),
+                ("assistant", f'{{"tokens": {TOKENS}}}', CALLERS),
             ):
-                ways, started = build_ways(deployment, service)
+                routes, started = build_routes(deployment, service)
                 handles.extend(started)
                 if service == "cards":
-                    measure(ways, "one caller", body, 1, requests, repeats)
-                    measure(ways, "16 callers", body, MANY, 3 * requests, repeats)
+                    measure(routes, "one caller", body, 1, requests, repeats)
+                    measure(routes, "16 callers", body, CALLERS, 3 * requests, repeats)
                 else:
                     measure(
-                        ways, f"{TOKENS} tokens x 16", body, MANY, requests * 4, repeats
+                        routes,
+                        f"{TOKENS} tokens x 16",
+                        body,
+                        CALLERS,
+                        requests * 4,
+                        repeats,
                     )
                 for handle in started:
                     handle.terminate()
                     handle.wait()
-            show_memory(deployment, "after the load")
+            print_memory(deployment, "after the load")
         finally:
             deployment.stop()
 
 
-def build_ways(
+def build_routes(
     deployment: Deployment, service: str
-) -> tuple[list[Way], list[subprocess.Popen]]:
-    """Return the three ways to a service's target."""
+) -> tuple[list[MeasuredRoute], list[subprocess.Popen]]:
+    """Return the three routes to a service's target, and the started relays."""
     name = f"{service}-here-0"
     target = deployment.standins[name]
     relay, handles = start_relays(target)
@@ -183,22 +195,24 @@
     agent = deployment.processes[name]
     pids = (entry.handle.pid, agent.handle.pid)
     return [
-        Way("target alone", target, "/x", ()),
-        Way("two bare relays", relay, "/x", tuple(h.pid for h in handles)),
-        Way("entry and agent", entry.address, f"/v1/services/{service}/x", pids),
+        MeasuredRoute("target alone", target, "/x", ()),
+        MeasuredRoute("two bare relays", relay, "/x", tuple(h.pid for h in handles)),
+        MeasuredRoute(
+            "entry and agent", entry.address, f"/v1/services/{service}/x", pids
+        ),
     ], handles
 
 
-def targets_are_up(deployment: Deployment) -> bool:
-    """Tell whether the entry sees its targets."""
+def targets_are_usable(deployment: Deployment) -> bool:
+    """Return whether the entry reports all targets as usable."""
     status = deployment.get(deployment.entry_address("here"), "/status")
     return len(status["targets"]) == len(SERVICES) and set(
         status["targets"].values()
     ) == {"usable"}
 
 
-def show_memory(deployment: Deployment, when: str) -> None:
-    """Print the resident memory of both binaries."""
+def print_memory(deployment: Deployment, when: str) -> None:
+    """Print the resident memory of the entry and the agents."""
     for name in ("entry-here-0", "cards-here-0", "assistant-here-0"):
         rss = read_usage(deployment.processes[name].handle.pid).rss
         print(f"resident {when}: {name} {rss / 1e6:.1f} MB", flush=True)
--- a/packages/measure/src/briarthread_measure/routing_run.py
+++ b/packages/measure/src/briarthread_measure/routing_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to choose a target, in virtual time and with the real processes' code.
+Compare policies that choose a target, in virtual time with the production code.
 
 Usage:
   routing_run [--seeds=N]
@@ -7,8 +7,8 @@
 Options:
   --seeds=N  Runs of each way, the same seeds for all [default: 5].
 
-Two entries stand before eight targets of four slots, one of which is three
-times as slow. Requests come at random, at 70 % of what the targets can do.
+Two entries serve eight targets with four slots each, one of which is three times as
+slow as the others. Requests arrive at random at 70 % of the targets' capacity.
 """
 
 import random
@@ -29,8 +29,8 @@
 ENTRIES, TARGETS, SLOTS = 2, 8, 4
 SERVICE_SECONDS = 0.05
 SLOW_FACTOR = 3.0
-LOAD_PART = 0.7
-SECONDS = 10.0
+LOAD_FACTOR = 0.7
+LOAD_SECONDS = 10.0
 TEXT = (
     "[data_centre one]\n[service cards]\ndata_centres = one\nidempotent = yes\n"
     f"slots = {SLOTS}\nqueue = 200\ndeadline = 5\n"
@@ -40,30 +40,30 @@
 def choose_random(
     states: Sequence[TargetState], now: float, rng: random.Random
 ) -> TargetState | None:
-    """Choose any usable target."""
+    """Choose a random usable target."""
     usable = [state for state in states if state.usable(now)]
     return rng.choice(usable) if usable else None
 
 
 @dataclass(slots=True)
 class RoundRobin:
-    """Choose usable targets in turn."""
+    """Choose usable targets in round-robin order."""
 
-    turn: int = 0
+    calls: int = 0
 
     def __call__(
         self, states: Sequence[TargetState], now: float, rng: random.Random
     ) -> TargetState | None:
         """Return the next target."""
         usable = [state for state in states if state.usable(now)]
-        self.turn += 1
-        return usable[self.turn % len(usable)] if usable else None
+        self.calls += 1
+        return usable[self.calls % len(usable)] if usable else None
 
 
 def choose_least_requests(
     states: Sequence[TargetState], now: float, rng: random.Random
 ) -> TargetState | None:
-    """Choose the least reported load, without what was sent since."""
+    """Choose the least reported load, ignoring requests sent since the report."""
     usable = [state for state in states if state.usable(now)]
     return min(
         usable, key=lambda s: (s.report.r + s.report.q, rng.random()), default=None
@@ -79,7 +79,7 @@
 
 
 async def run(policy: str, seed: int) -> LoadResults:
-    """Run one way with one seed."""
+    """Run one policy with one seed."""
     async with anyio.create_task_group() as tasks:
         world = World(tasks, seed)
         for number in range(ENTRIES):
@@ -92,25 +92,26 @@
         for number in range(ENTRIES):
             world.entry(f"entry-{number}").router.choose = POLICIES[policy]()
         capacity = SLOTS * (TARGETS - 1 + 1 / SLOW_FACTOR) / SERVICE_SECONDS
-        tally = await load.run("caller", LOAD_PART * capacity, SECONDS, 5.0)
+        results = await load.run("caller", LOAD_FACTOR * capacity, LOAD_SECONDS, 5.0)
         tasks.cancel_scope.cancel()
-    return tally
+    return results
 
 
 def main() -> None:
-    """Print a line a way."""
+    """Print a line for each policy."""
     seeds = int(docopt(__doc__)["--seeds"])
     logger.remove()
     for policy in POLICIES:
         runs = [run_virtual(run, policy, seed) for seed in range(seeds)]
         columns = [
-            f"p{part * 100:.0f} "
+            f"p{quantile * 100:.0f} "
             + format_median_range(
-                [percentile(one.latencies, part) * 1000 for one in runs], ".0f"
+                [percentile(result.latencies, quantile) * 1000 for result in runs],
+                ".0f",
             )
-            for part in (0.5, 0.95, 0.99)
+            for quantile in (0.5, 0.95, 0.99)
         ]
-        failed = sum(one.refused + one.unknown for one in runs)
+        failed = sum(result.refused + result.unknown for result in runs)
         print(f"{policy:16} ms {', '.join(columns)}; {failed} failed", flush=True)
 
 
--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Stateful fuzzing."""
+"""Stateful fuzz tests."""
--- a/tests/fuzz/booking_machine.py
+++ b/tests/fuzz/booking_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of bookings under faults."""
+"""State machine that fuzzes bookings under faults."""
 
 import anyio
 from builders import START_SECONDS, build_text, build_world
@@ -28,19 +28,19 @@
 SITES = ("palermo", "catania")
 ENTRIES = tuple(f"entry-{site}-0" for site in SITES)
 AGENTS = tuple(f"diary-{site}-{number}" for site in SITES for number in range(2))
-KEY_LIFE = 40.0
-"""Seconds for which a key is asked again; the retry horizon is 60."""
-KINDS_OF_REPAIR = 4
-HOLD_SECONDS = 30.0
-"""How long a patient caller holds the line; its deadline is 5 s."""
+KEY_REUSE_SECONDS = 40.0
+"""Time for which a key is reused; the retry horizon is 60 s."""
+REPAIR_KINDS = 4
+CALLER_TIMEOUT_SECONDS = 30.0
+"""Time for which a caller keeps its connection open; the deadline is 5 s."""
 
 
 class BookingMachine(WorldMachine):
     """
-    Ask for bookings while instances, links and the platform misbehave.
+    Sends bookings while instances, the network and the platform fail.
 
-    The invariant is the oracle's: a key runs at most once, an answer is the
-    key's own, and what was told not to have run did not run.
+    The oracle checks the invariant: a key runs at most once, a response belongs to
+    its key, and a request whose outcome is "not-run" did not run.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
 
     @initialize(seed=st.integers(0, 10_000))
     def start(self, seed: int) -> None:
-        """Bring a small world up."""
+        """Start a small world."""
         self.seed = seed
         self.live = LiveWorld(self.build)
 
@@ -66,65 +66,65 @@
         entry=st.sampled_from(ENTRIES),
         account=st.integers(0, 1),
     )
-    def ask(self, numbers: list[int], entry: str, account: int) -> None:
-        """Ask for bookings, perhaps asked before, through one entry."""
+    def send_bookings(self, numbers: list[int], entry: str, account: int) -> None:
+        """Send bookings, possibly with keys used before, through one entry."""
         for number in numbers:
-            self._start_ask(number, entry, account, HOLD_SECONDS)
+            self._start_request(number, entry, account, CALLER_TIMEOUT_SECONDS)
 
     @rule(number=st.integers(0, 3), account=st.integers(0, 1))
-    def ask_everywhere(self, number: int, account: int) -> None:
-        """Ask for one booking through all entries at once."""
+    def send_through_all_entries(self, number: int, account: int) -> None:
+        """Send one booking through all entries at the same time."""
         for entry in ENTRIES:
-            self._start_ask(number, entry, account, HOLD_SECONDS)
+            self._start_request(number, entry, account, CALLER_TIMEOUT_SECONDS)
 
     @rule(
         number=st.integers(0, 3),
         entry=st.sampled_from(ENTRIES),
-        patience=st.sampled_from([0.002, 0.004, 0.008, 1.2]),
+        timeout=st.sampled_from([0.002, 0.004, 0.008, 1.2]),
     )
-    def ask_and_hang_up(self, number: int, entry: str, patience: float) -> None:
-        """Ask for a booking and hang up after a while."""
-        self._start_ask(number, entry, 0, patience)
+    def send_and_disconnect(self, number: int, entry: str, timeout: float) -> None:
+        """Send a booking and disconnect after ``timeout`` seconds."""
+        self._start_request(number, entry, 0, timeout)
 
-    def _start_ask(
-        self, number: int, entry: str, account: int, patience: float
+    def _start_request(
+        self, number: int, entry: str, account: int, timeout: float
     ) -> None:
         count("asks")
-        epoch = int(self.live.loop.time() // KEY_LIFE)
+        epoch = int(self.live.loop.time() // KEY_REUSE_SECONDS)
         key = f"<{account}/{epoch}/{number}>"
-        self.call(self.tasks.start_soon, self._ask, key, entry, account, patience)
+        self.call(self.tasks.start_soon, self._send, key, entry, account, timeout)
 
-    async def _ask(self, key: str, entry: str, account: int, patience: float) -> None:
+    async def _send(self, key: str, entry: str, account: int, timeout: float) -> None:
         self.oracle.record_request(key)
-        with anyio.move_on_after(patience):
+        with anyio.move_on_after(timeout):
             try:
-                answer = await self.world.call(
+                response = await self.world.call(
                     entry, "diary/b", f"salon-{account}", key, key.encode()
                 )
             except ChannelError:
                 pass
             else:
-                count(f"answers {answer.status} {answer.outcome}".strip())
-                self.oracle.record_response(key, answer, self.world.runs(key))
+                count(f"answers {response.status} {response.outcome}".strip())
+                self.oracle.record_response(key, response, self.world.runs(key))
                 return
         self.oracle.record_disconnect(key)
 
     @rule(seconds=st.sampled_from([0.001, 0.003, 0.006, 0.02, 0.3, 1.5, 6.0, 15.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         count("waits")
         self.advance(seconds)
 
     @rule(fault=faults(SITES, ENTRIES, AGENTS))
-    def break_something(self, fault: Fault) -> None:
-        """Bring a fault about."""
+    def inject_fault(self, fault: Fault) -> None:
+        """Inject a fault."""
         count(type(fault).__name__)
-        self.call(self._break, fault)
+        self.call(self._inject, fault)
 
-    def _break(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         match fault:
             case Kill(name) | Replace(name) | Stop(name) | Freeze(name):
-                self._break_process(fault, name)
+                self._inject_process_fault(fault, name)
             case Unlist(name):
                 if name not in self.world.members:
                     self.world.platform.state.unlist([name])
@@ -138,7 +138,7 @@
             case Duplicate(path, times):
                 self.world.network.duplicate[path] = times
 
-    def _break_process(self, fault: Fault, name: str) -> None:
+    def _inject_process_fault(self, fault: Fault, name: str) -> None:
         match fault:
             case Kill():
                 self.world.kill(name)
@@ -157,14 +157,14 @@
         if self.world.members.get(name) is member:
             self.world.kill(name)
 
-    @rule(which=st.integers(0, KINDS_OF_REPAIR - 1))
-    def repair(self, which: int) -> None:
-        """Mend one kind of fault everywhere."""
+    @rule(kind=st.integers(0, REPAIR_KINDS - 1))
+    def repair(self, kind: int) -> None:
+        """Repair one kind of fault in the whole deployment."""
         count("repairs")
-        self.call(self._repair, which)
+        self.call(self._repair, kind)
 
-    def _repair(self, which: int) -> None:
-        match which:
+    def _repair(self, kind: int) -> None:
+        match kind:
             case 0:
                 self.world.network.heal()
             case 1:
@@ -176,19 +176,19 @@
                 self.start_missing()
 
     @invariant()
-    def nothing_is_violated(self) -> None:
-        """Check every key against the oracle."""
+    def no_violations(self) -> None:
+        """Check the runs of all keys against the oracle."""
         for key in self.oracle.keys:
             self.oracle.check_runs(key, self.world.runs(key))
         assert not self.oracle.violations, self.oracle.violations
 
     def repair_all_faults(self) -> None:
-        """Mend every fault."""
-        for which in range(KINDS_OF_REPAIR):
-            self._repair(which)
+        """Repair all faults."""
+        for kind in range(REPAIR_KINDS):
+            self._repair(kind)
 
     def check_final_state(self) -> None:
-        """Check the final counts of all keys."""
+        """Check the final number of runs of all keys."""
         for key in self.oracle.keys:
             self.oracle.check_final_runs(key, self.world.runs(key))
         assert not self.oracle.violations, self.oracle.violations
--- a/tests/fuzz/ci_settings.py
+++ b/tests/fuzz/ci_settings.py
@@ -1,4 +1,4 @@
-"""How the machines run in CI: the same examples every time."""
+"""Hypothesis settings for CI, which generate the same examples in every run."""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/fuzz/faults.py
+++ b/tests/fuzz/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the fuzz brings about."""
+"""Faults that the fuzz tests inject."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replace:
-    """Kill a process and start it anew at once."""
+    """Kill a process and start a new one at once."""
 
     name: str
 
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Freeze:
-    """Hold back all messages to and from a process."""
+    """Delay all messages to and from a process until it is unfrozen."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Cut two sites off from each other."""
+    """Partition the network between two data centres, or one and the platform."""
 
     one: str
     other: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoseAnswers:
-    """Lose answers on a path after their calls took effect."""
+    """Lose the responses to calls of a path after the calls took effect."""
 
     path: str
     times: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Duplicate:
-    """Let calls on a path arrive twice."""
+    """Deliver calls of a path twice."""
 
     path: str
     times: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unlist:
-    """Take a dead agent off the platform's list."""
+    """Remove a stopped agent from the platform's list of instances."""
 
     name: str
 
@@ -94,7 +94,7 @@
 def faults(
     sites: tuple[str, ...], entries: tuple[str, ...], agents: tuple[str, ...]
 ) -> st.SearchStrategy[Fault]:
-    """Return a strategy of faults for a deployment."""
+    """Return a Hypothesis strategy that generates faults of a deployment."""
     agent = st.sampled_from(agents)
     pairs = [(sites[0], sites[1]), *((site, "platform") for site in sites)]
     times = st.integers(1, 3)
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of expert maps under faults."""
+"""State machine that fuzzes the activation of expert maps under faults."""
 
 import anyio
 from builders import build_text
@@ -24,8 +24,8 @@
 PATHS = (STAGE_PATH, ANNOUNCE_PATH, CONFIRM_PATH, VERDICT_PATH, ORDER_PATH)
 VERSIONS_PER_FENCE = 1000
 CONFIRM_SECONDS = 0.08
-"""Time in which a planner gets as far as its first confirmations."""
-CALM_SECONDS = 4.0
+"""Time after which a planner has sent its first confirmations."""
+RECOVERY_SECONDS = 4.0
 GROUP_TEXT = (
     "[service assistant]\nkind = engine\ndata_centres = palermo\nidempotent = yes\n"
     f"[group experts]\nservice = assistant\ndata_centre = {SITE}\n"
@@ -35,15 +35,15 @@
 
 class MapMachine(WorldMachine):
     """
-    Propose maps from racing planners while ranks, agents and links fail.
+    Proposes maps from concurrent planners while ranks, agents and the network fail.
 
-    The invariant: in every step all ranks are on one map. At the end, with
-    everything mended, the group steps again.
+    The invariant is that all ranks use the same map in every step. At the end, after
+    all faults are repaired, the group has to make steps again.
     """
 
     @initialize(seed=st.integers(0, 10_000), fencing=st.booleans())
     def start(self, seed: int, fencing: bool) -> None:
-        """Bring a group of three ranks up."""
+        """Start a group of three ranks."""
         self.fencing = fencing
         self.fence = 1
         self.proposals = 0
@@ -63,7 +63,7 @@
 
     @rule(planner=st.integers(0, 1), new_lease=st.booleans())
     def propose(self, planner: int, new_lease: bool) -> None:
-        """Let a planner propose a map, under a new or an old lease."""
+        """Propose a map from a planner, with a new or an old lease."""
         count("proposals")
         if new_lease:
             self.fence += 1
@@ -85,24 +85,24 @@
 
     @rule(
         confirmed=st.sets(st.sampled_from(RANKS)),
-        then=st.sampled_from(["freeze", "kill", "replace", "nothing"]),
+        follow_up_fault=st.sampled_from(["freeze", "kill", "replace", "nothing"]),
         late=st.sampled_from([0.1, 0.7, 1.0, 1.5]),
         seconds=st.sampled_from([0.0, 0.2, 0.7, 1.2]),
-        calm=st.booleans(),
+        repair_first=st.booleans(),
     )
-    def propose_and_die(
+    def kill_planner_during_confirmation(
         self,
         confirmed: set[str],
-        then: str,
+        follow_up_fault: str,
         late: float,
         seconds: float,
-        calm: bool,
+        repair_first: bool,
     ) -> None:
-        """Let a planner die after only some ranks got its confirmation."""
+        """Kill a planner after only some ranks received its confirmation."""
         count("planner deaths in a confirmation")
-        if calm:
+        if repair_first:
             self.call(self.repair_all_faults)
-            self.advance(CALM_SECONDS)
+            self.advance(RECOVERY_SECONDS)
         network = self.world.network
         network.late = late
         for name in set(RANKS) - confirmed:
@@ -112,11 +112,11 @@
         self.advance(CONFIRM_SECONDS)
         self.call(self._kill_planners)
         for name in confirmed:
-            self.call(self._strike, name, then)
+            self.call(self._inject_fault, name, follow_up_fault)
         self.advance(seconds)
 
-    def _strike(self, name: str, then: str) -> None:
-        match then:
+    def _inject_fault(self, name: str, follow_up_fault: str) -> None:
+        match follow_up_fault:
             case "freeze":
                 self.freeze(name, True)
             case "kill":
@@ -127,7 +127,7 @@
 
     @rule()
     def kill_planners(self) -> None:
-        """Kill all planners in the middle of what they do."""
+        """Kill all planners during their work."""
         count("planner kills")
         self.call(self._kill_planners)
 
@@ -138,23 +138,23 @@
 
     @rule(seconds=st.sampled_from([0.002, 0.004, 0.01, 0.05, 0.2, 0.6, 0.7, 1.0, 3.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.advance(seconds)
 
-    @rule(name=st.sampled_from(RANKS), again=st.booleans())
-    def kill_agent(self, name: str, again: bool) -> None:
-        """Kill an agent, perhaps replacing it at once."""
+    @rule(name=st.sampled_from(RANKS), replace=st.booleans())
+    def kill_agent(self, name: str, replace: bool) -> None:
+        """Kill an agent, and optionally replace it at once."""
         count("agent kills")
         self.call(self.world.kill, name)
-        if again:
+        if replace:
             self.call(self.world.start, name)
 
-    @rule(number=st.integers(0, len(RANKS) - 1), again=st.booleans())
-    def kill_engine(self, number: int, again: bool) -> None:
-        """Kill an engine, perhaps replacing it at once."""
+    @rule(number=st.integers(0, len(RANKS) - 1), replace=st.booleans())
+    def kill_engine(self, number: int, replace: bool) -> None:
+        """Kill an engine, and optionally replace it at once."""
         count("engine kills")
         self.call(self._kill_engine, number)
-        if again:
+        if replace:
             self.call(self._start_engine, number)
 
     def _kill_engine(self, number: int) -> None:
@@ -174,19 +174,19 @@
 
     @rule(name=st.sampled_from(RANKS))
     def freeze_agent(self, name: str) -> None:
-        """Hold back all messages of an agent."""
+        """Freeze all messages of an agent."""
         count("freezes")
         self.call(self.freeze, name, True)
 
     @rule(planner=st.sampled_from(PLANNER_SITES))
-    def cut(self, planner: str) -> None:
-        """Cut a planner off from the group."""
+    def partition_planner(self, planner: str) -> None:
+        """Partition a planner from the group."""
         count("cuts")
         self.world.network.cut(planner, SITE)
 
     @rule(path=st.sampled_from(PATHS), times=st.integers(1, 3))
-    def lose_answers(self, path: str, times: int) -> None:
-        """Lose answers on a path after their calls took effect."""
+    def lose_responses(self, path: str, times: int) -> None:
+        """Lose the responses to calls of a path after the calls took effect."""
         count("lost answers")
         self.world.network.lose_answers[path] = times
 
@@ -196,7 +196,7 @@
         late=st.sampled_from([0.1, 0.7, 1.5]),
     )
     def delay(self, path: str, times: int, late: float) -> None:
-        """Let calls on a path break for the caller and arrive later."""
+        """Fail calls of a path for the caller and deliver them later."""
         count("delays")
         self.world.network.delay[path] = times
         self.world.network.late = late
@@ -207,19 +207,19 @@
         late=st.sampled_from([0.0, 0.1, 0.7, 1.5]),
     )
     def duplicate(self, path: str, times: int, late: float) -> None:
-        """Let calls on a path arrive again, later."""
+        """Deliver calls of a path a second time, later."""
         count("duplicates")
         self.world.network.duplicate[path] = times
         self.world.network.late = late
 
     @rule()
     def repair(self) -> None:
-        """Mend everything."""
+        """Repair all faults."""
         count("repairs")
         self.call(self.repair_all_faults)
 
     def repair_all_faults(self) -> None:
-        """Mend every fault."""
+        """Repair all faults, and start all agents and engines."""
         for name in RANKS:
             self.freeze(name, False)
         for number in range(len(RANKS)):
@@ -229,14 +229,14 @@
         self.start_missing()
 
     @invariant()
-    def all_ranks_are_on_one_map(self) -> None:
-        """Check the steps so far."""
+    def all_ranks_use_the_same_map(self) -> None:
+        """Check all steps so far."""
         assert not self.group.mismatches, self.group.mismatches
 
     def check_final_state(self) -> None:
-        """Check that the group steps, on one map."""
-        before = self.group.step
+        """Check that the group makes steps, with the same map on all ranks."""
+        step_before = self.group.step
         self.advance(5.0)
         states = [engine.state() for engine in self.group.engines]
-        assert self.group.step > before, states
+        assert self.group.step > step_before, states
         assert not self.group.mismatches, self.group.mismatches
--- a/tests/fuzz/oracle.py
+++ b/tests/fuzz/oracle.py
@@ -1,4 +1,4 @@
-"""What may have run, as the callers can know it."""
+"""Test oracle for at-most-once execution, based on the callers' responses."""
 
 from dataclasses import dataclass, field
 
@@ -10,19 +10,19 @@
 
 @dataclass(slots=True)
 class KeyHistory:
-    """Hold the answers to all asks of one key, and the asks still open."""
+    """Responses to all requests of one key, and the number of open requests."""
 
-    open: int = 0
+    open_requests: int = 0
     disconnects: int = 0
     responses: list[Answer] = field(default_factory=list)
 
 
 class Oracle:
     """
-    Compare what callers were told with what ran.
+    Compares the responses to callers with the runs at the targets.
 
-    Each key is sent with a body of its own, so that the targets' counts
-    tell how often the key ran and whose answer an answer is.
+    Each key is sent with its own body, so that the targets' counts show how often
+    the key ran, and a response shows to which key it belongs.
     """
 
     def __init__(self) -> None:
@@ -30,38 +30,42 @@
         self.violations: list[str] = []
 
     def record_request(self, key: str) -> None:
-        """Note that a key is asked."""
-        self.keys.setdefault(key, KeyHistory()).open += 1
+        """Record that a request with the key was sent."""
+        self.keys.setdefault(key, KeyHistory()).open_requests += 1
 
-    def record_response(self, key: str, answer: Answer, runs: int) -> None:
-        """Note an answer, and how often the key has run by now."""
+    def record_response(self, key: str, response: Answer, runs: int) -> None:
+        """Record a response, and how often the key has run by now."""
         history = self.keys[key]
-        history.open -= 1
-        history.responses.append(answer)
-        if answer.status == OK and key.encode() not in answer.body:
-            self.violations.append(f"{key}: got another's answer {answer.body!r}")
-        if answer.outcome == NOT_RUN and runs:
+        history.open_requests -= 1
+        history.responses.append(response)
+        if response.status == OK and key.encode() not in response.body:
             self.violations.append(
-                f"{key}: told not-run after {runs} run(s), {answer.body!r}"
+                f"{key}: got the response of another key: {response.body!r}"
+            )
+        if response.outcome == NOT_RUN and runs:
+            self.violations.append(
+                f"{key}: outcome not-run after {runs} run(s): {response.body!r}"
             )
 
     def record_disconnect(self, key: str) -> None:
-        """Note that an ask ended without an answer."""
+        """Record that a request ended without a response."""
         history = self.keys[key]
-        history.open -= 1
+        history.open_requests -= 1
         history.disconnects += 1
 
     def check_runs(self, key: str, runs: int) -> None:
-        """Check the count of a key at any time."""
+        """Check that a key ran at most once; may be called at any time."""
         if runs > 1:
-            self.violations.append(f"{key}: ran {runs} times")
+            self.violations.append(f"{key}: {runs} runs")
 
     def check_final_runs(self, key: str, runs: int) -> None:
-        """Check a key once nothing of it is open."""
+        """Check the runs of a key that has no open requests."""
         self.check_runs(key, runs)
         history = self.keys[key]
-        told = {answer.outcome for answer in history.responses}
-        if told == {NOT_RUN} and not history.disconnects and runs:
-            self.violations.append(f"{key}: every ask was told not-run, ran {runs}")
-        if any(a.status == OK for a in history.responses) and not runs:
-            self.violations.append(f"{key}: answered but never ran")
+        outcomes = {response.outcome for response in history.responses}
+        if outcomes == {NOT_RUN} and not history.disconnects and runs:
+            self.violations.append(
+                f"{key}: outcome not-run for all requests, runs: {runs}"
+            )
+        if any(one.status == OK for one in history.responses) and not runs:
+            self.violations.append(f"{key}: successful response, but no run")
--- a/tests/fuzz/run_long.py
+++ b/tests/fuzz/run_long.py
@@ -1,5 +1,5 @@
 """
-Fuzz with fresh seeds for a while, outside CI.
+Run the state machines with new random seeds for some minutes, outside CI.
 
 Usage:
   run_long [--minutes=N] (bookings | maps)
@@ -7,8 +7,8 @@
 Options:
   --minutes=N  How long to run [default: 10].
 
-It prints the counts of steps, faults and answers. It exits with 1 when the
-oracle found a violation; the steps that led there are printed.
+Prints the counts of steps, faults and responses. Exits with 1 if the oracle found a
+violation, whose steps are printed.
 """
 
 import sys
@@ -27,14 +27,14 @@
 from fuzz.map_machine import MapMachine  # noqa: E402
 from fuzz.world_machine import WorldMachine, counts  # noqa: E402
 
-BATCH = 40
-SECONDS_A_MINUTE = 60
+BATCH_EXAMPLES = 40
+SECONDS_PER_MINUTE = 60
 
 
 def run_batch(machine: type[WorldMachine]) -> bool:
-    """Run some examples; tell whether the oracle was satisfied."""
+    """Run some examples and return whether no violation was found."""
     options = settings(
-        max_examples=BATCH,
+        max_examples=BATCH_EXAMPLES,
         stateful_step_count=40,
         database=None,
         deadline=None,
@@ -50,12 +50,12 @@
 
 
 def main() -> int:
-    """Run batches until the time is over and return the exit code."""
+    """Run batches until the time has elapsed and return the exit code."""
     arguments = docopt(__doc__)
     minutes = float(arguments["--minutes"])
     machine = BookingMachine if arguments["bookings"] else MapMachine
     logger.remove()
-    end = time.monotonic() + minutes * SECONDS_A_MINUTE
+    end = time.monotonic() + minutes * SECONDS_PER_MINUTE
     batches = 0
     violated = 0
     while time.monotonic() < end:
--- a/tests/fuzz/test_bookings.py
+++ b/tests/fuzz/test_bookings.py
@@ -1,4 +1,4 @@
-"""Bookings run at most once and "not run" is true, under fuzzed faults."""
+"""Bookings run at most once and "not-run" is reported truthfully under faults."""
 
 from fuzz.booking_machine import BookingMachine
 from fuzz.ci_settings import CI_SETTINGS
--- a/tests/fuzz/test_maps.py
+++ b/tests/fuzz/test_maps.py
@@ -1,4 +1,4 @@
-"""All ranks of a group are on one map in every step, under fuzzed faults."""
+"""All ranks of a group use the same map in every step under faults."""
 
 from fuzz.ci_settings import CI_SETTINGS
 from fuzz.map_machine import MapMachine
--- a/tests/fuzz/test_rank_maps.py
+++ b/tests/fuzz/test_rank_maps.py
@@ -1,4 +1,4 @@
-"""Whatever happens to agents and orders, a pass has one map and none is stuck."""
+"""Under faults of agents and orders, each pass uses one map and none hangs."""
 
 from dataclasses import dataclass, replace
 
@@ -13,25 +13,25 @@
 from fuzz.ci_settings import CI_SETTINGS
 
 RANKS = 4
-LATEST_ORDER_SECONDS = 3.5
-"""Just over the longest time after which an order of a fault is carried out."""
+MAX_ORDER_DELAY_SECONDS = 3.5
+"""Slightly more than the longest delay of an order that a fault delays."""
 CHANGE_SECONDS = 0.3
-"""Longest hold of a change that goes well: its pass lies as far ahead, and it is let
-go before the group comes to it. One may be under way at any moment."""
+"""Longest hold of a successful change: its pass is as far ahead, and the hold is
+released before the group reaches it. A change may be in progress at any time."""
 PROMISE_SECONDS = 6.0
-"""How long a planner is watched for a promise to it."""
-QUIET_SECONDS = 14.0
-"""Time after the last fault in which everything must be settled: the longest
-late order, a planner's silence, and two looks of the finisher."""
+"""Time for which a promise to a planner is awaited."""
+RECOVERY_SECONDS = 14.0
+"""Time after the last fault in which the group must recover: the longest delay of an
+order, a planner's silence, and two checks of the map change recovery."""
 
 
 @dataclass(frozen=True)
 class Fault:
     """
-    One fault at an agent or the group, ``after`` seconds from the last.
+    A fault of an agent or the group, ``after`` seconds after the previous one.
 
-    ``count`` is how many orders are lost, or how long it lasts; a planner is frozen
-    as many milliseconds after its pass was promised.
+    ``count`` is the number of lost orders or the duration of the fault; for a frozen
+    planner, the milliseconds between the promise of its pass and the freeze.
     """
 
     kind: str
@@ -63,8 +63,8 @@
 
 
 @pytest.fixture(autouse=True)
-def long_passes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let the stand-in's passes count as those of a fully loaded group."""
+def fully_loaded_passes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Treat the stand-in's passes as those of a fully loaded group."""
     monkeypatch.setattr(
         "briarthread_common.placement.set_rebalance.ZERO_WEIGHT_PASS_SECONDS", 0.01
     )
@@ -74,42 +74,42 @@
 
 
 @pytest.fixture(autouse=True)
-def young_agents_know(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let agents know soon what was ordered, so that passes are taken back too."""
+def short_order_delay_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shorten the time until agents know all orders, so that passes are withdrawn."""
     name = "briarthread_agent.ranks.rank_controller.LATE_ORDER_SECONDS"
-    monkeypatch.setattr(name, LATEST_ORDER_SECONDS)
+    monkeypatch.setattr(name, MAX_ORDER_DELAY_SECONDS)
 
 
-LOST_BESIDE_A_FREEZE = [
+LOST_ORDERS_AND_FREEZE = [
     Fault(kind="lose-arm", rank=3, after=0.03, count=5),
     Fault(kind="freeze-planner", rank=1, after=0.03, count=5),
     Fault(kind="lose-hold", rank=3, after=0.07, count=2),
     Fault(kind="lose-go", rank=1, after=0.03, count=5),
 ]
-"""A frozen planner that does not know its own rank for a moment, and arms it first."""
+"""A frozen planner that briefly lacks its own rank, and arms that rank first."""
 
-CHANGE_AT_THE_END = [
+CHANGE_AT_END = [
     Fault(kind="freeze", rank=0, after=0.2, count=1),
     Fault(kind="freeze", rank=0, after=0.2, count=1),
     Fault(kind="freeze", rank=2, after=0.01, count=4),
     Fault(kind="form", rank=1, after=0.03, count=4),
 ]
-"""A change of the map that begins 3 ms before the end of the quiet time."""
+"""A map change that begins 3 ms before the end of ``RECOVERY_SECONDS``."""
 
 
 @CI_SETTINGS
-@example(LOST_BESIDE_A_FREEZE)
-@example(CHANGE_AT_THE_END)
+@example(LOST_ORDERS_AND_FREEZE)
+@example(CHANGE_AT_END)
 @given(st.lists(FAULTS, min_size=3, max_size=14))
 def test_every_pass_has_one_map_and_nothing_stays_held(faults: list[Fault]) -> None:
     async def scenario(world: GroupWorld) -> None:
         for number, fault in enumerate(faults):
             await anyio.sleep(fault.after)
             prefer(world.group, 5 * number)
-            strike(world, fault)
+            inject_fault(world, fault)
             await anyio.sleep(0.5)
-        recover(world)
-        await anyio.sleep(QUIET_SECONDS)
+        repair_all_faults(world)
+        await anyio.sleep(RECOVERY_SECONDS)
         assert world.group.violations == []
         with anyio.fail_after(CHANGE_SECONDS):
             while any(rank.held is not None for rank in world.group.ranks):
@@ -121,7 +121,7 @@
     in_group_world(scenario, RANKS)
 
 
-def strike(world: GroupWorld, fault: Fault) -> None:
+def inject_fault(world: GroupWorld, fault: Fault) -> None:
     address = world.agent_address(fault.rank)
     match fault.kind:
         case "kill":
@@ -129,11 +129,11 @@
             world.tasks.start_soon(start_later, world, fault)
         case "freeze":
             world.network.freeze(address, True)
-            world.tasks.start_soon(thaw_later, world, fault)
+            world.tasks.start_soon(unfreeze_later, world, fault)
         case "freeze-instance":
             world.network.freeze(address, True)
             world.network.freeze(world.engine_address(fault.rank), True)
-            world.tasks.start_soon(thaw_later, world, fault)
+            world.tasks.start_soon(unfreeze_later, world, fault)
         case "freeze-planner":
             world.tasks.start_soon(freeze_planner_later, world, fault)
         case "lose":
@@ -156,36 +156,36 @@
 
 
 async def freeze_planner_later(world: GroupWorld, fault: Fault) -> None:
-    """Freeze the planner's instance some milliseconds after the next promise."""
+    """Freeze the planner's instance ``fault.count - 1`` ms after the next promise."""
 
-    def promised() -> list[PassId | None]:
+    def promised_passes() -> list[PassId | None]:
         return [agent.controller.promised_pass for agent in world.agents.values()]
 
-    before = promised()
+    initial = promised_passes()
     with anyio.move_on_after(PROMISE_SECONDS):
-        while promised() == before:
+        while promised_passes() == initial:
             await anyio.sleep(0.0007)
         await anyio.sleep((fault.count - 1) / 1000)
         planner = world.planner()
         if planner is not None:
-            strike(world, replace(fault, kind="freeze-instance", rank=planner))
+            inject_fault(world, replace(fault, kind="freeze-instance", rank=planner))
 
 
-async def thaw_later(world: GroupWorld, fault: Fault) -> None:
+async def unfreeze_later(world: GroupWorld, fault: Fault) -> None:
     await anyio.sleep(fault.count)
-    thaw(world, fault.rank)
+    unfreeze(world, fault.rank)
 
 
-def thaw(world: GroupWorld, rank: int) -> None:
+def unfreeze(world: GroupWorld, rank: int) -> None:
     world.network.freeze(world.agent_address(rank), False)
     world.network.freeze(world.engine_address(rank), False)
 
 
-def recover(world: GroupWorld) -> None:
+def repair_all_faults(world: GroupWorld) -> None:
     world.store.silent = False
     world.group.unanswered = 0
     world.group.unanswered_of = {}
     for rank in range(RANKS):
-        thaw(world, rank)
+        unfreeze(world, rank)
         if rank not in world.agents:
             world.start_agent(rank)
--- a/tests/fuzz/world_machine.py
+++ b/tests/fuzz/world_machine.py
@@ -1,4 +1,4 @@
-"""What the fuzzing machines share: a world between their steps."""
+"""Base class of the state machines that fuzz a simulated world."""
 
 from collections.abc import Callable
 
@@ -8,20 +8,20 @@
 
 from briarthread_standins.world import World
 
-SETTLE_SECONDS = 30.0
+RECOVERY_SECONDS = 30.0
 
 counts: dict[str, int] = {}
-"""Steps and faults of all runs of this process, for the long command."""
+"""Steps and faults of all runs of this process, which run_long prints."""
 
 
-def count(what: str) -> None:
+def count(event: str) -> None:
     """Count a step or a fault."""
-    counts[what] = counts.get(what, 0) + 1
+    counts[event] = counts.get(event, 0) + 1
 
 
 class WorldMachine(RuleBasedStateMachine):
     """
-    Hold a world between the steps of a machine.
+    State machine that keeps a world between its steps.
 
     Subclasses override ``build``, ``repair_all_faults`` and ``check_final_state``.
     """
@@ -30,7 +30,7 @@
 
     @property
     def world(self) -> World:
-        """Return the world."""
+        """Return the simulated world."""
         return self.live.world
 
     @property
@@ -39,41 +39,41 @@
         return self.live.tasks
 
     async def build(self, tasks: anyio.abc.TaskGroup) -> World:
-        """Bring the world up and return it."""
+        """Start the world and return it."""
         raise NotImplementedError
 
     def repair_all_faults(self) -> None:
-        """Mend every fault."""
+        """Repair all faults."""
         raise NotImplementedError
 
     def check_final_state(self) -> None:
-        """Check the world once it has settled."""
+        """Check the world after it has recovered."""
         raise NotImplementedError
 
     def teardown(self) -> None:
-        """Mend everything, let it settle, check the end."""
+        """Repair all faults, wait for recovery and check the final state."""
         try:
             count("runs of the machine")
             self.call(self.repair_all_faults)
-            self.advance(SETTLE_SECONDS)
+            self.advance(RECOVERY_SECONDS)
             self.check_final_state()
         finally:
             self.live.close()
 
     def call(self, function: Callable[..., object], *arguments: object) -> None:
-        """Call a function inside the loop."""
+        """Call a function inside the event loop."""
         self.live.do(function, *arguments)
 
     def advance(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time."""
         self.live.let_pass(seconds)
 
     def freeze(self, name: str, frozen: bool) -> None:
-        """Hold back, or let go, all messages of an instance."""
+        """Freeze or unfreeze all messages of an instance."""
         self.world.network.freeze(self.world.instances[name].address, frozen)
 
     def start_missing(self) -> None:
-        """Start every instance that does not run."""
+        """Start all instances that are not running."""
         instances = self.world.instances
         missing = [name for name in instances if name not in self.world.members]
         for name in missing:
