--- a/packages/measure/src/briarthread_measure/choice_run.py
+++ b/packages/measure/src/briarthread_measure/choice_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to choose a rank where many entries choose at the same time.
+Compare policies that choose a rank when many entries choose at the same time.
 
 Usage:
   choice_run [--seeds=N] [--jobs=N]
@@ -8,8 +8,8 @@
   --seeds=N  Plays of each load, the same seeds for all ways [default: 3].
   --jobs=N   Processes to play with [default: 3].
 
-Arrivals are drawn; what an entry knows of the others is as old as reports are.
-The figure is the part of arrivals that meet a full rank: median (least..largest).
+Arrivals are random, and an entry's information about the others is as old as reports
+are. The result is the share of arrivals at a full rank: median (min..max).
 """
 
 import random
@@ -19,71 +19,76 @@
 
 from briarthread_entry.direct.choose_target import RunningElsewhere, choose_rank
 from briarthread_entry.direct.target_state import DirectTargetState
-from briarthread_measure.drawn_arrivals import DrawnDay, DrawnLoad
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure.arrival_simulation import ArrivalLoad, ArrivalSimulation
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 
 LOADS = {
-    "12 ranks": DrawnLoad(entries=9, ranks=12, slots=6, rate=30.0, age=0.1),
-    "63 ranks": DrawnLoad(entries=46, ranks=63, slots=5, rate=120.0, age=0.35),
-    "129 ranks": DrawnLoad(entries=99, ranks=129, slots=3, rate=150.0, age=0.35),
+    "12 ranks": ArrivalLoad(entries=9, ranks=12, slots=6, rate=30.0, report_age=0.1),
+    "63 ranks": ArrivalLoad(entries=46, ranks=63, slots=5, rate=120.0, report_age=0.35),
+    "129 ranks": ArrivalLoad(
+        entries=99, ranks=129, slots=3, rate=150.0, report_age=0.35
+    ),
 }
 States = Sequence[DirectTargetState]
-Home = Mapping[str, int]
+OwnSlots = Mapping[str, int]
+"""Number of slots of each rank that are assigned to the entry."""
 
 
 def least_loaded(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose among the ranks with the least running."""
-    return rng.choice(_least(states, elsewhere))
+    """Choose a random rank among those with the fewest running requests."""
+    return rng.choice(_least_loaded_ranks(states, elsewhere))
 
 
 def own_among_least(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose among the ranks with the least running, own slots first."""
-    least = _least(states, elsewhere)
-    own = [s for s in least if s.running < home.get(s.target.name, 0)]
-    return rng.choice(own or least)
+    """Choose among the ranks with the fewest running requests, own slots first."""
+    least = _least_loaded_ranks(states, elsewhere)
+    with_own_slots = [s for s in least if s.running < own_slots.get(s.target.name, 0)]
+    return rng.choice(with_own_slots or least)
 
 
-def by_what_is_free(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+def weighted_by_free_slots(
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose by chance, weighed by what is free, as an entry without own slots."""
+    """Choose a random rank, weighted by free slots, as an entry without own slots."""
     return own_slots_first(states, elsewhere, {}, rng)
 
 
 def own_slots_first(
-    states: States, elsewhere: RunningElsewhere, home: Home, rng: random.Random
+    states: States, elsewhere: RunningElsewhere, own_slots: OwnSlots, rng: random.Random
 ) -> DirectTargetState:
-    """Choose as an entry does."""
-    found = choose_rank(states, elsewhere, home, 0.0, rng)
-    if found is None:
+    """Choose as the entry does in production."""
+    chosen = choose_rank(states, elsewhere, own_slots, 0.0, rng)
+    if chosen is None:
         raise ValueError("there are no ranks to choose from")
-    return found
+    return chosen
 
 
-WAYS = {
+POLICIES = {
     "least running, by chance among equals": least_loaded,
     "the same, own slots first among equals": own_among_least,
-    "by chance, weighed by what is free": by_what_is_free,
+    "by chance, weighed by what is free": weighted_by_free_slots,
     "own slots first, then by what is free": own_slots_first,
 }
 
 
-def share_of(play: Play) -> float:
-    """Return the part of arrivals that meet a full rank in one play."""
-    day = DrawnDay(LOADS[play.load], play.seed, WAYS[play.way])
-    return day.share_that_meets_a_full_rank()
+def measure_full_rank_share(run: SimulationRun) -> float:
+    """Return the share of arrivals at a full rank in one simulation."""
+    simulation = ArrivalSimulation(LOADS[run.load], run.seed, POLICIES[run.policy])
+    return simulation.full_rank_share()
 
 
 def main() -> None:
-    """Play everything and print a table."""
-    print_ways("way", WAYS, LOADS, share_of, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("way", POLICIES, LOADS, measure_full_rank_share, docopt(__doc__))
 
 
-def _least(states: States, elsewhere: RunningElsewhere) -> list[DirectTargetState]:
+def _least_loaded_ranks(
+    states: States, elsewhere: RunningElsewhere
+) -> list[DirectTargetState]:
     loads = [state.running + elsewhere(state.target.name) for state in states]
     least = min(loads)
     return [s for s, load in zip(states, loads, strict=True) if load == least]
--- a/packages/measure/src/briarthread_measure/crash_ways_run.py
+++ b/packages/measure/src/briarthread_measure/crash_ways_run.py
@@ -1,5 +1,5 @@
 """
-Compare rules for whom to blame when targets crash, in virtual time.
+Compare rules that attribute target crashes to requests, in virtual time.
 
 Usage:
   crash_ways_run [--seeds=N] [--jobs=N]
@@ -8,9 +8,9 @@
   --seeds=N  Plays of each load [default: 3].
   --jobs=N   Processes to play with [default: 2].
 
-The figure is the number of requests that are shut out: median (least..largest). In the
-first load it should be one, the request that crashes its targets; in the others, where
-targets crash by themselves and a third of the requests are alike, none.
+The result is the number of blocked requests: median (min..max). It should be one under
+the first load, for the request that crashes its targets, and zero under the others,
+where targets crash by themselves and a third of the requests are identical.
 """
 
 from collections.abc import Iterable, Iterator
@@ -23,17 +23,23 @@
 
 from briarthread_entry.direct import crash_tracker
 from briarthread_entry.direct.crash_rule import Strike
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 from briarthread_standins.crash_scenario import PLAIN_SERVICE, CrashScenario
 from briarthread_standins.crash_simulation import simulate_crashes
 
-SHORT = replace(PLAIN_SERVICE, seconds=20.0)
-KILLED = replace(SHORT, crash_interval=100.0, identical_share=0.3, rate=60.0)
+SHORT_SCENARIO = replace(PLAIN_SERVICE, seconds=20.0)
+RANDOM_CRASHES = replace(
+    SHORT_SCENARIO, crash_interval=100.0, identical_share=0.3, rate=60.0
+)
 LOADS = {
-    "one request crashes": SHORT,
-    "1 target a second": replace(KILLED, crashes_per_second=1, down_seconds=2.0),
-    "3 targets a second": replace(KILLED, crashes_per_second=3, down_seconds=1.0),
-    "5 of 6 a second": replace(KILLED, crashes_per_second=5, down_seconds=0.7),
+    "one request crashes": SHORT_SCENARIO,
+    "1 target a second": replace(
+        RANDOM_CRASHES, crashes_per_second=1, down_seconds=2.0
+    ),
+    "3 targets a second": replace(
+        RANDOM_CRASHES, crashes_per_second=3, down_seconds=1.0
+    ),
+    "5 of 6 a second": replace(RANDOM_CRASHES, crashes_per_second=5, down_seconds=0.7),
     "ranks, 1 a second": CrashScenario(
         crash_interval=100.0,
         identical_share=0.3,
@@ -45,26 +51,30 @@
 }
 
 
-def every_strike(strikes: Iterable[Strike]) -> int:
-    """Count each crash, also of runs that were under way together."""
+def count_all_crashes(strikes: Iterable[Strike]) -> int:
+    """Count each crash, also of runs that overlapped."""
     return len(list(strikes))
 
 
-BOOK = crash_tracker.CrashTracker
-NOT_PROVEN = (BOOK, "note_complete_response", lambda book, digest, now: None)
-EVERY = (crash_tracker, "count_sequential_crashes", every_strike)
-WAYS: dict[str, tuple[tuple[object, str, object], ...]] = {
-    "every strike counts": (EVERY, NOT_PROVEN),
-    "one after the other only": (NOT_PROVEN,),
-    "cleared by a whole answer only": (EVERY,),
+TRACKER = crash_tracker.CrashTracker
+WITHOUT_CLEARING = (
+    TRACKER,
+    "note_complete_response",
+    lambda tracker, digest, now: None,
+)
+COUNT_ALL = (crash_tracker, "count_sequential_crashes", count_all_crashes)
+POLICIES: dict[str, tuple[tuple[object, str, object], ...]] = {
+    "every strike counts": (COUNT_ALL, WITHOUT_CLEARING),
+    "one after the other only": (WITHOUT_CLEARING,),
+    "cleared by a whole answer only": (COUNT_ALL,),
     "both (as shipped)": (),
 }
 
 
 @contextmanager
-def applied(way: str) -> Iterator[None]:
-    """Have a way in force."""
-    patches = [mock.patch.object(*patch) for patch in WAYS[way]]
+def applied(policy: str) -> Iterator[None]:
+    """Apply the patches of a policy within the context."""
+    patches = [mock.patch.object(*patch) for patch in POLICIES[policy]]
     for patch in patches:
         patch.start()
     try:
@@ -74,18 +84,18 @@
             patch.stop()
 
 
-def shut_out(play: Play) -> float:
-    """Return how many requests are shut out in one play."""
+def count_blocked(run: SimulationRun) -> float:
+    """Return the number of requests blocked in one simulation."""
     logger.remove()
-    with applied(play.way):
+    with applied(run.policy):
         return simulate_crashes(
-            replace(LOADS[play.load], seed=play.seed)
+            replace(LOADS[run.load], seed=run.seed)
         ).blocked_requests
 
 
 def main() -> None:
-    """Play everything and print a table."""
-    print_ways("way", WAYS, LOADS, shut_out, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("way", POLICIES, LOADS, count_blocked, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/packages/measure/src/briarthread_measure/group_choice_run.py
+++ b/packages/measure/src/briarthread_measure/group_choice_run.py
@@ -1,5 +1,5 @@
 """
-Compare ways to choose one of several lock-step groups.
+Compare policies that choose one of several lock-step groups.
 
 Usage:
   group_choice_run [--seeds=N] [--jobs=N]
@@ -8,9 +8,9 @@
   --seeds=N  Plays of each load and way [default: 4].
   --jobs=N   Processes at a time [default: 4].
 
-Real entries and stand-in ranks in virtual time, twelve ranks in two or three groups.
-Prints the worth of what callers get (a late answer counts half): median
-(least..largest).
+Production entries and stand-in ranks run in virtual time, with twelve ranks in two or
+three groups. Prints the callers' score, in which a late response counts half: median
+(min..max).
 """
 
 from dataclasses import replace
@@ -26,13 +26,13 @@
     GroupCapacities,
     groups_with_capacity,
 )
-from briarthread_measure import group_ways
-from briarthread_measure.ways_table import Play, print_ways
+from briarthread_measure import group_policies
+from briarthread_measure.comparison_table import SimulationRun, print_comparison
 from briarthread_standins.load_scenario import LoadScenario
 from briarthread_standins.load_simulation import simulate_load
 
 CAPACITY = 32.0
-"""Requests a second that twelve ranks of two like groups serve in time."""
+"""Requests per second that twelve ranks in two equal groups serve in time."""
 LOADS = {
     "0.6 x": LoadScenario(0.6 * CAPACITY, ranks=12, groups=2),
     "1.5 x": LoadScenario(1.5 * CAPACITY, ranks=12, groups=2),
@@ -49,52 +49,56 @@
         0.7 * CAPACITY, ranks=12, groups=3, slow_factor=1.6
     ),
 }
-NOT_TOLD = "groups not told apart"
-WAYS = {
-    NOT_TOLD: group_ways.any_group,
-    "any group, by the rank": group_ways.any_group,
-    "shortest predicted pass": group_ways.least_pass,
-    "the better of two by chance": group_ways.two_by_chance,
-    "by chance, by free room": group_ways.by_free_room,
-    "largest free part": group_ways.by_free_share,
+MEMBERSHIP_UNKNOWN = "groups not told apart"
+POLICIES = {
+    MEMBERSHIP_UNKNOWN: group_policies.any_group,
+    "any group, by the rank": group_policies.any_group,
+    "shortest predicted pass": group_policies.shortest_pass,
+    "the better of two by chance": group_policies.better_of_two,
+    "by chance, by free room": group_policies.weighted_by_free_capacity,
+    "largest free part": group_policies.largest_free_share,
 }
 
 
-def outlook(
-    entry: DirectEntry, group: GroupId, room: GroupCapacity
-) -> group_ways.GroupOutlook:
-    """Return what an entry expects of a group that gets one request more."""
+def forecast(
+    entry: DirectEntry, group: GroupId, group_capacity: GroupCapacity
+) -> group_policies.GroupForecast:
+    """Return an entry's forecast for a group that gets one more request."""
     meter = entry.capacity.meters[group]
-    each = meter.request_cost(anyio.current_time()) or meter.initial_cost
-    next_pass = meter.fixed_seconds + each * (room.running + 1)
-    return group_ways.GroupOutlook(room.free, room.limit, next_pass)
+    cost = meter.request_cost(anyio.current_time()) or meter.initial_cost
+    next_pass_seconds = meter.fixed_seconds + cost * (group_capacity.running + 1)
+    return group_policies.GroupForecast(
+        group_capacity.free, group_capacity.limit, next_pass_seconds
+    )
 
 
-def worth_of(play: Play) -> float:
-    """Return what callers get in a play."""
+def score_of(run: SimulationRun) -> float:
+    """Return the callers' score in one simulation."""
     logger.remove()
 
     def prepare(entry: DirectEntry) -> None:
-        def choose(rooms: GroupCapacities) -> set[GroupId]:
-            with_room = {
-                group: outlook(entry, group, rooms[group])
-                for group in groups_with_capacity(rooms)
+        def choose(capacities: GroupCapacities) -> set[GroupId]:
+            forecasts = {
+                group: forecast(entry, group, capacities[group])
+                for group in groups_with_capacity(capacities)
             }
-            if not with_room:
-                return set(rooms)
-            return WAYS[play.way](with_room, entry.admission.rng)
+            if not forecasts:
+                return set(capacities)
+            return POLICIES[run.policy](forecasts, entry.admission.rng)
 
         entry.admission._allowed_groups = choose
 
-    day = replace(
-        LOADS[play.load], seed=play.seed, membership_reported=play.way != NOT_TOLD
+    scenario = replace(
+        LOADS[run.load],
+        seed=run.seed,
+        membership_reported=run.policy != MEMBERSHIP_UNKNOWN,
     )
-    return simulate_load(day, prepare).score
+    return simulate_load(scenario, prepare).score
 
 
 def main() -> None:
-    """Print a table with a line for each way."""
-    print_ways("way", WAYS, LOADS, worth_of, docopt(__doc__))
+    """Run all simulations and print a table."""
+    print_comparison("way", POLICIES, LOADS, score_of, docopt(__doc__))
 
 
 if __name__ == "__main__":
--- a/tests/fuzz/map_machine.py
+++ b/tests/fuzz/map_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of expert maps under faults."""
+"""State machine that fuzzes the activation of expert maps under faults."""
 
 import anyio
 from builders import build_text
@@ -22,10 +22,10 @@
 RANKS = tuple(f"rank-{number}" for number in range(3))
 PLANNER_SITES = ("planner-0", "planner-1")
 PATHS = (STAGE_PATH, ANNOUNCE_PATH, CONFIRM_PATH, VERDICT_PATH, ORDER_PATH)
-VERSIONS_A_FENCE = 1000
+VERSIONS_PER_FENCE = 1000
 CONFIRM_SECONDS = 0.08
-"""Time in which a planner gets as far as its first confirmations."""
-CALM_SECONDS = 4.0
+"""Time after which a planner has sent its first confirmations."""
+RECOVERY_SECONDS = 4.0
 GROUP_TEXT = (
     "[service assistant]\nkind = engine\ndata_centres = palermo\nidempotent = yes\n"
     f"[group experts]\nservice = assistant\ndata_centre = {SITE}\n"
@@ -35,15 +35,15 @@
 
 class MapMachine(WorldMachine):
     """
-    Propose maps from racing planners while ranks, agents and links fail.
+    Proposes maps from concurrent planners while ranks, agents and the network fail.
 
-    The invariant: in every step all ranks are on one map. At the end, with
-    everything mended, the group steps again.
+    The invariant is that all ranks use the same map in every step. At the end, after
+    all faults are repaired, the group has to make steps again.
     """
 
     @initialize(seed=st.integers(0, 10_000), fencing=st.booleans())
     def start(self, seed: int, fencing: bool) -> None:
-        """Bring a group of three ranks up."""
+        """Start a group of three ranks."""
         self.fencing = fencing
         self.fence = 1
         self.proposals = 0
@@ -63,13 +63,13 @@
 
     @rule(planner=st.integers(0, 1), new_lease=st.booleans())
     def propose(self, planner: int, new_lease: bool) -> None:
-        """Let a planner propose a map, under a new or an old lease."""
+        """Propose a map from a planner, with a new or an old lease."""
         count("proposals")
         if new_lease:
             self.fence += 1
         self.proposals += 1
-        version = self.fence * VERSIONS_A_FENCE + self.proposals
-        self.do(self.tasks.start_soon, self._propose, planner, version)
+        version = self.fence * VERSIONS_PER_FENCE + self.proposals
+        self.call(self.tasks.start_soon, self._propose, planner, version)
 
     async def _propose(self, planner: int, version: int) -> None:
         group = self.world.entry("entry-0").text.current().groups["experts"]
@@ -79,44 +79,44 @@
         expert_map = round_robin_map(version, 1, 8, len(RANKS))
         with anyio.CancelScope() as scope:
             self.planner_scopes.append(scope)
-            fence = version // VERSIONS_A_FENCE
+            fence = version // VERSIONS_PER_FENCE
             result = await coordinator.activate(group, expert_map, fence)
             count(type(result).__name__)
 
     @rule(
         confirmed=st.sets(st.sampled_from(RANKS)),
-        then=st.sampled_from(["freeze", "kill", "replace", "nothing"]),
+        follow_up_fault=st.sampled_from(["freeze", "kill", "replace", "nothing"]),
         late=st.sampled_from([0.1, 0.7, 1.0, 1.5]),
         seconds=st.sampled_from([0.0, 0.2, 0.7, 1.2]),
-        calm=st.booleans(),
+        repair_first=st.booleans(),
     )
-    def propose_and_die(
+    def kill_planner_during_confirmation(
         self,
         confirmed: set[str],
-        then: str,
+        follow_up_fault: str,
         late: float,
         seconds: float,
-        calm: bool,
+        repair_first: bool,
     ) -> None:
-        """Let a planner die after only some ranks got its confirmation."""
+        """Kill a planner after only some ranks received its confirmation."""
         count("planner deaths in a confirmation")
-        if calm:
-            self.do(self.repair_all)
-            self.let_pass(CALM_SECONDS)
+        if repair_first:
+            self.call(self.repair_all_faults)
+            self.advance(RECOVERY_SECONDS)
         network = self.world.network
         network.late_seconds = late
         for name in set(RANKS) - confirmed:
             address = self.world.instances[name].address
             network.delayed_calls[f"{CONFIRM_PATH}@{address}"] = 1
         self.propose(0, new_lease=True)
-        self.let_pass(CONFIRM_SECONDS)
-        self.do(self._kill_planners)
+        self.advance(CONFIRM_SECONDS)
+        self.call(self._kill_planners)
         for name in confirmed:
-            self.do(self._strike, name, then)
-        self.let_pass(seconds)
+            self.call(self._inject_fault, name, follow_up_fault)
+        self.advance(seconds)
 
-    def _strike(self, name: str, then: str) -> None:
-        match then:
+    def _inject_fault(self, name: str, follow_up_fault: str) -> None:
+        match follow_up_fault:
             case "freeze":
                 self.freeze(name, True)
             case "kill":
@@ -127,9 +127,9 @@
 
     @rule()
     def kill_planners(self) -> None:
-        """Kill all planners in the middle of what they do."""
+        """Kill all planners during their work."""
         count("planner kills")
-        self.do(self._kill_planners)
+        self.call(self._kill_planners)
 
     def _kill_planners(self) -> None:
         for scope in self.planner_scopes:
@@ -138,24 +138,24 @@
 
     @rule(seconds=st.sampled_from([0.002, 0.004, 0.01, 0.05, 0.2, 0.6, 0.7, 1.0, 3.0]))
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
-        self.let_pass(seconds)
+        """Advance the virtual time."""
+        self.advance(seconds)
 
-    @rule(name=st.sampled_from(RANKS), again=st.booleans())
-    def kill_agent(self, name: str, again: bool) -> None:
-        """Kill an agent, perhaps replacing it at once."""
+    @rule(name=st.sampled_from(RANKS), replace=st.booleans())
+    def kill_agent(self, name: str, replace: bool) -> None:
+        """Kill an agent, and optionally replace it at once."""
         count("agent kills")
-        self.do(self.world.kill, name)
-        if again:
-            self.do(self.world.start, name)
+        self.call(self.world.kill, name)
+        if replace:
+            self.call(self.world.start, name)
 
-    @rule(number=st.integers(0, len(RANKS) - 1), again=st.booleans())
-    def kill_engine(self, number: int, again: bool) -> None:
-        """Kill an engine, perhaps replacing it at once."""
+    @rule(number=st.integers(0, len(RANKS) - 1), replace=st.booleans())
+    def kill_engine(self, number: int, replace: bool) -> None:
+        """Kill an engine, and optionally replace it at once."""
         count("engine kills")
-        self.do(self._kill_engine, number)
-        if again:
-            self.do(self._start_engine, number)
+        self.call(self._kill_engine, number)
+        if replace:
+            self.call(self._start_engine, number)
 
     def _kill_engine(self, number: int) -> None:
         self.group.engines[number].alive = False
@@ -174,19 +174,19 @@
 
     @rule(name=st.sampled_from(RANKS))
     def freeze_agent(self, name: str) -> None:
-        """Hold back all messages of an agent."""
+        """Freeze all messages of an agent."""
         count("freezes")
-        self.do(self.freeze, name, True)
+        self.call(self.freeze, name, True)
 
     @rule(planner=st.sampled_from(PLANNER_SITES))
-    def cut(self, planner: str) -> None:
-        """Cut a planner off from the group."""
+    def partition_planner(self, planner: str) -> None:
+        """Partition a planner from the group."""
         count("cuts")
         self.world.network.partition(planner, SITE)
 
     @rule(path=st.sampled_from(PATHS), times=st.integers(1, 3))
-    def lost_responses(self, path: str, times: int) -> None:
-        """Lose answers on a path after their calls took effect."""
+    def lose_responses(self, path: str, times: int) -> None:
+        """Lose the responses to calls of a path after the calls took effect."""
         count("lost answers")
         self.world.network.lost_responses[path] = times
 
@@ -196,7 +196,7 @@
         late=st.sampled_from([0.1, 0.7, 1.5]),
     )
     def delay(self, path: str, times: int, late: float) -> None:
-        """Let calls on a path break for the caller and arrive later."""
+        """Fail calls of a path for the caller and deliver them later."""
         count("delays")
         self.world.network.delayed_calls[path] = times
         self.world.network.late_seconds = late
@@ -207,19 +207,19 @@
         late=st.sampled_from([0.0, 0.1, 0.7, 1.5]),
     )
     def duplicate(self, path: str, times: int, late: float) -> None:
-        """Let calls on a path arrive again, later."""
+        """Deliver calls of a path a second time, later."""
         count("duplicates")
         self.world.network.duplicated_calls[path] = times
         self.world.network.late_seconds = late
 
     @rule()
     def repair(self) -> None:
-        """Mend everything."""
+        """Repair all faults."""
         count("repairs")
-        self.do(self.repair_all)
+        self.call(self.repair_all_faults)
 
-    def repair_all(self) -> None:
-        """Mend every fault."""
+    def repair_all_faults(self) -> None:
+        """Repair all faults, and start all agents and engines."""
         for name in RANKS:
             self.freeze(name, False)
         for number in range(len(RANKS)):
@@ -229,14 +229,14 @@
         self.start_missing()
 
     @invariant()
-    def all_ranks_are_on_one_map(self) -> None:
-        """Check the steps so far."""
+    def all_ranks_use_the_same_map(self) -> None:
+        """Check all steps so far."""
         assert not self.group.mismatches, self.group.mismatches
 
-    def check_end(self) -> None:
-        """Check that the group steps, on one map."""
-        before = self.group.step
-        self.let_pass(5.0)
+    def check_final_state(self) -> None:
+        """Check that the group makes steps, with the same map on all ranks."""
+        step_before = self.group.step
+        self.advance(5.0)
         states = [engine.state() for engine in self.group.engines]
-        assert self.group.step > before, states
+        assert self.group.step > step_before, states
         assert not self.group.mismatches, self.group.mismatches
